--- a/chestnutfall/ownership/__init__.py
+++ b/chestnutfall/ownership/__init__.py
@@ -1,22 +1,22 @@
-"""What the owning gateway of an engine decides: tickets, pins, loads and evictions."""
+"""Decisions of the gateway that owns an engine: tickets, pins, loads and evictions."""
 
 from __future__ import annotations
 
 from .engine_owner import EngineOwner
+from .engine_owners import EngineOwners
 from .messages import (
     TICKET_CODEC,
     EngineBackoff,
     EngineLimit,
     EngineView,
     Hello,
-    OwnerNote,
+    OwnerNotification,
     ResumeSent,
     TicketEnd,
     TicketGrant,
     TicketRefusal,
     TicketRequest,
 )
-from .owner_desk import OwnerDesk
 
 __all__ = [
     "TICKET_CODEC",
@@ -25,8 +25,8 @@
     "EngineOwner",
     "EngineView",
     "Hello",
-    "OwnerDesk",
-    "OwnerNote",
+    "EngineOwners",
+    "OwnerNotification",
     "ResumeSent",
     "TicketEnd",
     "TicketGrant",
--- a/chestnutfall/ownership/adapter_loader.py
+++ b/chestnutfall/ownership/adapter_loader.py
@@ -1,4 +1,4 @@
-"""Loading one adapter onto an engine, in the place of another if need be."""
+"""Loads one adapter onto an engine, evicting another if necessary."""
 
 from __future__ import annotations
 
@@ -31,7 +31,13 @@
 
 
 class AdapterLoader:
-    """Permits, eviction and orders of one engine's owner."""
+    """Carries out loads for one engine's owner: load permits, evictions and orders.
+
+    Parameters
+    ----------
+    may_act : callable
+        Returns the epoch of the ownership while this gateway may act for the engine, else None.
+    """
 
     def __init__(
         self,
@@ -59,7 +65,10 @@
         is_wanted: Callable[[], bool],
         on_evicted: Callable[[Slot], None],
     ) -> LoadOutcome:
-        """Load `adapter`, after unloading `victim`, for as long as it is wanted."""
+        """Load `adapter`, after unloading `victim`, for as long as it is wanted.
+
+        `on_evicted` is called with the victim as soon as the engine has accepted its unload.
+        """
         permit_id = await self._wait_for_permit(is_wanted)
         if permit_id is None:
             return LoadOutcome.NOT_STARTED
@@ -88,13 +97,13 @@
         task.add_done_callback(self._permit_ends.discard)
 
     async def _evict(self, victim: Slot) -> bool:
-        """Unload `victim`, unless the engine itself says that it is in use."""
+        """Unload `victim` unless a request uses it; return whether the order was accepted."""
         address = self._address()
         if address is None or victim.pins:
             return False
-        # A gateway that vanished may still have a request running that no ticket shows any more.
-        # Symptom of evicting then: an answer breaks off. The engine's own fresh report decides;
-        # together with the wait after a take-over nothing can be on its way to it.
+        # A gateway that is gone may still have a run that no ticket shows any more, and an eviction
+        # would break off its answer. So the engine's own fresh report decides. After the wait that
+        # follows a take-over, no request can still be on its way to the engine.
         state = await self._api.state(address, STATE_TIMEOUT_MS)
         if victim.adapter in state.running.values() or victim.pins:
             victim.inherited_until_ms = self._clock.now_ms() + IN_USE_PAUSE_MS
@@ -117,6 +126,7 @@
         return LoadOutcome.LOADED
 
     async def _wait_until_loaded(self, adapter: str) -> str:
+        """Poll the engine until the load ends; return the adapter's state, or why there is none."""
         end_ms = self._clock.now_ms() + LOAD_TIMEOUT_MS
         while self._clock.now_ms() < end_ms:
             address = self._address()
@@ -130,17 +140,17 @@
         return "timeout"
 
     async def order(self, kind: OrderKind, adapter: str) -> bool:
-        """Give an order; whether the engine accepted it.
+        """Send an order, and return whether the engine accepted it.
 
         Raises
         ------
         ConnectionError
-            When its answer was lost; it may or may not take effect.
+            If the answer was lost; the order may or may not take effect.
         """
-        # A paused owner can resume after its successor took over and still send this order.
-        # Symptom: an adapter vanishes from an engine that is using it. Engines that check compare
-        # the epoch with the newest they have seen; for the others the lease is read directly
-        # before sending, and a successor waits for lease plus order deadline.
+        # An owner that was paused may resume after its successor took over, and its order would
+        # drop an adapter that is in use. Engines with fencing compare the epoch with the newest
+        # they have seen. For the others the lease is checked directly before sending, and a
+        # successor waits for the lease plus the order timeout.
         epoch = self._may_act()
         address = self._address()
         if epoch is None or address is None:
--- a/chestnutfall/ownership/engine_owner.py
+++ b/chestnutfall/ownership/engine_owner.py
@@ -1,4 +1,4 @@
-"""The one gateway that decides for an engine."""
+"""Decisions for one engine by the gateway that owns it."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from ..observability.metrics import Metrics
 from ..signals.messages import HeardBackoff
 from .adapter_loader import STATE_TIMEOUT_MS, AdapterLoader, LoadOutcome
-from .engine_sends import EngineSends
+from .engine_send_limit import EngineSendLimit
 from .load_failures import LoadFailures
 from .load_permits import LoadPermits
 from .messages import (
-    LAST_DISPATCH_MS,
+    MAX_DISPATCH_DELAY_MS,
     EngineView,
     TicketEnd,
     TicketGrant,
@@ -27,18 +27,28 @@
 )
 from .slot import Slot
 from .ticket_queue import FULL, FULL_RETRY_MS, TicketQueue
-from .waiting import Waiting
+from .ticket_waiter import TicketWaiter
 
 log = logging.getLogger(__name__)
 REFRESH_MS = 1000
-LOOK_MS = 250
-LEAST_LOOK_MS = 5
-"""A queue that waits for something else than a limit is not looked at all the time."""
+POLL_MS = 250
+MIN_POLL_MS = 5
+"""Bounds the polling of a queue that waits for something other than the engine's limit."""
 RETRY_MS = 1000
 
 
 class EngineOwner:
-    """Slots, queue and loads of one engine, while this gateway owns it."""
+    """Slots, queue and loads of one engine, while this gateway owns it.
+
+    Parameters
+    ----------
+    may_act : callable
+        Returns the epoch of the ownership while this gateway may act for the engine, else None.
+    is_gone : callable
+        Whether the gateway with a session no longer exists.
+    on_view_change : callable
+        Called whenever the result of `view` may have changed.
+    """
 
     def __init__(
         self,
@@ -51,10 +61,10 @@
         clock: Clock,
         metrics: Metrics,
         is_gone: Callable[[str], bool],
-        on_view: Callable[[], None] = lambda: None,
+        on_view_change: Callable[[], None] = lambda: None,
     ) -> None:
         self.engine = engine
-        self._on_view = on_view
+        self._on_view_change = on_view_change
         self._may_act = may_act
         self._registry = registry
         self._api = api
@@ -70,38 +80,42 @@
         self._loads: dict[str, asyncio.Task[None]] = {}
         self._no_loads_before_ms = 0
         self._changed_ms = 0
-        self._sends = EngineSends(engine, clock)
+        self._send_limit = EngineSendLimit(engine, clock)
         self._loader = AdapterLoader(engine, may_act, registry, api, permits, clock, metrics)
 
     async def run(self) -> None:
-        """Take over the engine, then keep what is known of it fresh."""
+        """Take over the engine, then refresh its state and process the queue until cancelled."""
         try:
             while True:
                 await self._refresh()
-                self._pump()
+                self._process_queue()
                 await self._until_refresh_is_due()
         finally:
             self._queue.refuse_all("owner_changed", 0)
             self._queue.drop_answered()
 
     async def _until_refresh_is_due(self) -> None:
-        """Wait, shorter when the engine was not reached or announces a new incarnation."""
+        """Wait for the next refresh.
+
+        Return early when the engine announces an incarnation that was not read yet: after a
+        restart, or when it was never reached.
+        """
         due_ms = self._clock.now_ms() + REFRESH_MS
         while self._clock.now_ms() < due_ms:
-            await self._clock.sleep_ms(self._look_ms())
-            self._pump()
+            await self._clock.sleep_ms(self._poll_interval_ms())
+            self._process_queue()
             upstream = self._registry.get(self.engine)
             if upstream and upstream.announcement.incarnation != self._incarnation:
                 return
 
-    def _look_ms(self) -> int:
-        """Time until something may have changed without a message."""
+    def _poll_interval_ms(self) -> int:
+        """Time until the queue may be able to proceed without any message."""
         if not self._queue:
-            return LOOK_MS
-        return min(max(self._sends.wait_ms(0), LEAST_LOOK_MS), LOOK_MS)
+            return POLL_MS
+        return min(max(self._send_limit.wait_ms(0), MIN_POLL_MS), POLL_MS)
 
     async def close(self) -> None:
-        """Wait for orders in progress, so that none is sent after the hand-over."""
+        """Cancel loads and wait for their orders, so that none is sent after the hand-over."""
         loads = list(self._loads.values())
         for task in loads:
             task.cancel()
@@ -110,58 +124,65 @@
     # Tickets
 
     async def acquire(self, req: TicketRequest, session: str) -> TicketGrant | TicketRefusal:
-        """Wait for a ticket, at most as long as the entry waits."""
+        """Wait for a ticket, at most as long as the request allows."""
         limits = self._config().limits
         if req.limit is not None:
-            self.hear(req.limit)
-        ahead = self._queue.before(req.rank)
-        refusal = self._sends.refusal(req, ahead, is_full=False)
+            self.note_limit(req.limit)
+        ahead = self._queue.count_ahead(req.rank)
+        refusal = self._send_limit.refusal(req, ahead, is_full=False)
         if refusal is not None:
             return refusal
         if len(self._queue) >= limits.queue_per_engine and not self._queue.shed_for(req):
             full = TicketRefusal(req.attempt_id, FULL, FULL_RETRY_MS)
-            return self._sends.refusal(req, ahead, is_full=True) or full
+            return self._send_limit.refusal(req, ahead, is_full=True) or full
         fut: asyncio.Future[TicketGrant | TicketRefusal] = (
             asyncio.get_running_loop().create_future()
         )
-        waiting = Waiting(req, session, self._clock.now_ms(), fut)
+        waiting = TicketWaiter(req, session, self._clock.now_ms(), fut)
         self._queue.add(waiting)
-        self._pump()
+        self._process_queue()
         try:
             return await fut
         except asyncio.CancelledError:
-            # The entry is gone; a ticket granted in this very moment would pin for ever.
+            # The entry gateway is gone; a ticket granted at the same time would never be unpinned.
             self.end(TicketEnd(req.attempt_id))
             raise
         finally:
             self._queue.remove(waiting)
 
     def end(self, msg: TicketEnd) -> None:
-        """Unpin what the ticket pinned, or drop its request from the queue."""
+        """Remove the ticket's pin, or refuse its request if it still waits."""
         self._queue.withdraw(msg.attempt_id)
         for slot in self._slots.values():
             slot.pins.pop(msg.attempt_id, None)
-        self._pump()
+        self._process_queue()
+
+    def note_limit(self, heard: HeardLimit) -> None:
+        """Apply a limit that the engine's present incarnation announced in an answer."""
+        if heard.instance == f"{self.engine}/{self._incarnation}" and self._send_limit.note_limit(
+            heard
+        ):
+            self._process_queue()
 
-    def hear(self, heard: HeardLimit) -> None:
-        """Take in what an answer said of this engine's limit."""
-        if heard.instance == f"{self.engine}/{self._incarnation}" and self._sends.hear(heard):
-            self._pump()
+    def note_backoff(self, heard: HeardBackoff) -> None:
+        """Record that the engine asked an entry gateway for backoff.
 
-    def hear_backoff(self, heard: HeardBackoff) -> None:
-        """Take in what this engine asked of an entry; the others prefer other engines meanwhile."""
+        The others prefer other engines meanwhile.
+        """
         if heard.instance == f"{self.engine}/{self._incarnation}":
-            self._sends.hear_backoff(heard)
-            self._on_view()
+            self._send_limit.note_backoff(heard)
+            self._on_view_change()
 
     def note_resume(self) -> None:
-        """Count that the engine was asked for the rest of a run."""
-        self._sends.sent()
+        """Count a request for the rest of a run against the engine's limit."""
+        self._send_limit.note_sent()
 
     def view(self) -> EngineView:
-        """What entry gateways need to choose an engine."""
+        """Return what entry gateways need to select an engine."""
         ready = tuple(s.adapter for s in self._slots.values() if s.takes_work)
-        send_wait_ms = max(self._sends.wait_ms(len(self._queue)), self._sends.backoff_ms())
+        send_wait_ms = max(
+            self._send_limit.wait_ms(len(self._queue)), self._send_limit.backoff_ms()
+        )
         return EngineView(self.engine, ready, self._running(), len(self._queue), send_wait_ms)
 
     def _running(self) -> int:
@@ -169,10 +190,10 @@
 
     # Decisions
 
-    def _pump(self) -> None:
-        """Grant, refuse or start a load for whatever waits."""
+    def _process_queue(self) -> None:
+        """Grant a ticket, refuse the request or start a load, for each waiting request."""
         now_ms = self._clock.now_ms()
-        self._on_view()
+        self._on_view_change()
         self._queue.drop_answered()
         if self._may_act() is None:
             self._queue.refuse_all("owner_changed", 0)
@@ -183,9 +204,9 @@
         for waiting in self._queue.by_urgency(now_ms, self._config().policy.aging_ms):
             self._decide(waiting, now_ms)
 
-    def _decide(self, waiting: Waiting, now_ms: int) -> None:
+    def _decide(self, waiting: TicketWaiter, now_ms: int) -> None:
         adapter = waiting.req.adapter
-        if waiting.is_late(now_ms):
+        if waiting.is_expired(now_ms):
             waiting.refuse("no_capacity_in_time", RETRY_MS)
             return
         backoff_ms = self._failures.wait_ms(adapter, now_ms)
@@ -200,12 +221,12 @@
         else:
             waiting.needed_load = True
 
-    def _grant(self, waiting: Waiting, slot: Slot, now_ms: int) -> None:
+    def _grant(self, waiting: TicketWaiter, slot: Slot, now_ms: int) -> None:
         if self._running() >= self._config().limits.running_per_engine:
             return
-        if self._sends.wait_ms(0):
+        if self._send_limit.wait_ms(0):
             return
-        self._sends.sent()
+        self._send_limit.note_sent()
         slot.pins[waiting.req.attempt_id] = waiting.session
         slot.used_ms = now_ms
         waited_ms = now_ms - waiting.since_ms
@@ -215,17 +236,17 @@
             self._metrics.timing("load_stall_ms", stalled_ms)
         waiting.fut.set_result(TicketGrant(waiting.req.attempt_id, stalled_ms))
 
-    def _make_room_and_load(self, waiting: Waiting, now_ms: int) -> None:
+    def _make_room_and_load(self, waiting: TicketWaiter, now_ms: int) -> None:
         if not self._slot_count or now_ms < self._no_loads_before_ms:
             return
         victim: Slot | None = None
-        taken = sum(not slot.leaving for slot in self._slots.values())
+        taken = sum(not slot.evicting for slot in self._slots.values())
         if taken >= self._slot_count:
             victim = self._victim(now_ms)
             if victim is None:
-                self._close_one(waiting, now_ms)
+                self._drain_one_slot(waiting, now_ms)
                 return
-            victim.leaving = True
+            victim.evicting = True
         adapter = waiting.req.adapter
         self._slots[adapter] = Slot(adapter, False, now_ms)
         task = asyncio.ensure_future(self._load(adapter, victim))
@@ -233,20 +254,20 @@
         task.add_done_callback(lambda _: self._loads.pop(adapter, None))
 
     def _victim(self, now_ms: int) -> Slot | None:
-        """The least recently used slot that nothing pins, one closed for this first."""
+        """Return the least recently used slot without pins, preferring draining ones."""
         free = (slot for slot in self._slots.values() if slot.is_evictable(now_ms))
-        return min(free, key=lambda slot: (not slot.closing, slot.used_ms), default=None)
+        return min(free, key=lambda slot: (not slot.draining, slot.used_ms), default=None)
 
-    def _close_one(self, waiting: Waiting, now_ms: int) -> None:
-        # Under steady load a hot adapter always has a ticket out, and a request for a cold one
-        # would wait for ever. After a while one slot takes no new work until it can be evicted.
+    def _drain_one_slot(self, waiting: TicketWaiter, now_ms: int) -> None:
+        # Under steady load a popular adapter always has pins, and a request for another adapter
+        # would wait for ever. After a while one slot accepts no new tickets until it is evicted.
         if now_ms - waiting.since_ms < self._config().policy.drain_after_ms:
             return
-        if any(slot.closing for slot in self._slots.values()):
+        if any(slot.draining for slot in self._slots.values()):
             return
         ready = [slot for slot in self._slots.values() if slot.ready]
         if ready:
-            min(ready, key=lambda slot: (len(slot.pins), slot.used_ms)).closing = True
+            min(ready, key=lambda slot: (len(slot.pins), slot.used_ms)).draining = True
 
     # Loads
 
@@ -254,19 +275,19 @@
         outcome = LoadOutcome.NOT_STARTED
         try:
             outcome = await self._loader.load(
-                adapter, victim, lambda: self._queue.wants(adapter), self._forget
+                adapter, victim, lambda: self._queue.has_request_for(adapter), self._remove_slot
             )
         finally:
-            self._take_outcome(adapter, outcome)
+            self._apply_outcome(adapter, outcome)
             if victim is not None:
-                victim.leaving = victim.closing = False
-        self._pump()
+                victim.evicting = victim.draining = False
+        self._process_queue()
 
-    def _forget(self, slot: Slot) -> None:
+    def _remove_slot(self, slot: Slot) -> None:
         self._changed_ms = self._clock.now_ms()
         self._slots.pop(slot.adapter, None)
 
-    def _take_outcome(self, adapter: str, outcome: LoadOutcome) -> None:
+    def _apply_outcome(self, adapter: str, outcome: LoadOutcome) -> None:
         now_ms = self._clock.now_ms()
         self._changed_ms = now_ms
         slot = self._slots.get(adapter)
@@ -278,11 +299,11 @@
         if outcome is LoadOutcome.FAILED:
             self._failures.failed(adapter, now_ms, self._config().policy.load_backoff_ms)
         else:
-            # The engine refused, or could not be asked. Trying again at once would spend the
-            # office's permits in a tight loop; a fresh look at the engine comes first.
+            # The engine refused, or was not reached. An immediate retry would use up the shared
+            # load permits in a tight loop; the engine's state is refreshed first.
             self._no_loads_before_ms = now_ms + REFRESH_MS
 
-    # What the engine says
+    # State of the engine
 
     async def _refresh(self) -> None:
         upstream = self._registry.get(self.engine)
@@ -296,17 +317,17 @@
         if state.incarnation != self._incarnation:
             self._take_over(state, asked_ms)
         self._slot_count = state.slots
-        # A load or eviction that ended while the report was on its way is not in it yet.
+        # The report may lack a load or eviction that ended after it was requested.
         if asked_ms > self._changed_ms:
-            self._match_slots(state)
-        self._end_orphans(state, asked_ms)
+            self._sync_slots(state)
+        self._unpin_orphans(state, asked_ms)
 
     def _take_over(self, state: EngineState, now_ms: int) -> None:
-        """Start from what an engine holds: after a change of owner, or its restart."""
+        """Start from what the engine holds, after a change of owner or a restart of the engine."""
         first = not self._incarnation
         self._incarnation = state.incarnation
-        self._sends = EngineSends(self.engine, self._clock)
-        inherited_until_ms = now_ms + LAST_DISPATCH_MS if first else 0
+        self._send_limit = EngineSendLimit(self.engine, self._clock)
+        inherited_until_ms = now_ms + MAX_DISPATCH_DELAY_MS if first else 0
         self._slots = {
             adapter: Slot(adapter, True, now_ms, inherited_until_ms)
             for adapter, status in state.adapters.items()
@@ -314,18 +335,18 @@
         }
         log.info("owner: took over %s with %s", self.engine, sorted(self._slots))
 
-    def _match_slots(self, state: EngineState) -> None:
+    def _sync_slots(self, state: EngineState) -> None:
         for adapter, slot in list(self._slots.items()):
-            if slot.ready and state.adapters.get(adapter) != "ready" and not slot.leaving:
+            if slot.ready and state.adapters.get(adapter) != "ready" and not slot.evicting:
                 del self._slots[adapter]
         for adapter, status in state.adapters.items():
             if adapter not in self._slots and status == "ready":
                 self._slots[adapter] = Slot(adapter, True, self._clock.now_ms())
 
-    def _end_orphans(self, state: EngineState, asked_ms: int) -> None:
-        """Unpin tickets of gateways that are gone, once the engine shows that none runs."""
+    def _unpin_orphans(self, state: EngineState, asked_ms: int) -> None:
+        """Remove pins of gateways that are gone, once the engine no longer reports their run."""
         for slot in self._slots.values():
             for attempt_id, session in list(slot.pins.items()):
                 if self._is_gone(session) and attempt_id not in state.running:
-                    if asked_ms >= slot.used_ms + LAST_DISPATCH_MS:
+                    if asked_ms >= slot.used_ms + MAX_DISPATCH_DELAY_MS:
                         del slot.pins[attempt_id]
--- a/chestnutfall/ownership/owner_desk.py
+++ b/chestnutfall/ownership/engine_owners.py
@@ -1,4 +1,4 @@
-"""All engines that this gateway owns."""
+"""The engines that this gateway owns."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     EngineBackoff,
     EngineLimit,
     EngineView,
-    OwnerNote,
+    OwnerNotification,
     ResumeSent,
     TicketEnd,
     TicketGrant,
@@ -28,7 +28,7 @@
 log = logging.getLogger(__name__)
 
 
-class OwnerDesk:
+class EngineOwners:
     """Starts and ends an `EngineOwner` for each engine as ownership changes."""
 
     def __init__(
@@ -53,11 +53,11 @@
         self._view_changes: set[asyncio.Event] = set()
 
     def acting(self) -> Iterator[str]:
-        """Engines we act for, those being handed over included."""
+        """Engines that this gateway acts for, those being handed over included."""
         yield from sorted({*self._owners, *self._closing})
 
-    def match_ownership(self) -> None:
-        """Begin and end owners so that they match what the controllers say."""
+    def reconcile_ownership(self) -> None:
+        """Start and end owners so that they match the ownership assigned by the controllers."""
         for engine, (epoch, owner, task) in list(self._owners.items()):
             if self._agent.may_act_for(engine) != epoch:
                 task.cancel()
@@ -69,12 +69,12 @@
                 self._begin(engine, may_act)
 
     def _begin(self, engine: str, epoch: int) -> None:
-        def still_ours() -> int | None:
+        def current_epoch() -> int | None:
             return epoch if self._agent.may_act_for(engine) == epoch else None
 
         owner = EngineOwner(
             engine,
-            still_ours,
+            current_epoch,
             self._registry,
             self._api,
             self._permits,
@@ -100,19 +100,19 @@
             return TicketRefusal(req.attempt_id, "not_owner", 0)
         return await found[1].acquire(req, session)
 
-    def take(self, msg: OwnerNote) -> None:
-        """Take what an entry tells of an engine that we own."""
+    def handle(self, msg: OwnerNotification) -> None:
+        """Pass a notification of an entry gateway to the owner of its engine."""
         match msg:
             case TicketEnd():
                 self.end(msg)
             case EngineLimit(engine, heard) if engine in self._owners:
-                self._owners[engine][1].hear(heard)
+                self._owners[engine][1].note_limit(heard)
             case EngineBackoff(engine, asked) if engine in self._owners:
-                self._owners[engine][1].hear_backoff(asked)
+                self._owners[engine][1].note_backoff(asked)
             case ResumeSent(engine) if engine in self._owners:
                 self._owners[engine][1].note_resume()
             case _:
-                log.debug("owner: %s is of an engine that we don't own", msg)
+                log.debug("owner: ignored %s for an engine owned elsewhere", msg)
 
     def end(self, msg: TicketEnd) -> None:
         """End a ticket, whichever engine it is for."""
@@ -120,7 +120,7 @@
             owner.end(msg)
 
     def views(self) -> Iterator[EngineView]:
-        """Yield what entry gateways need to know."""
+        """Yield the published state of each engine."""
         for _, owner, _ in self._owners.values():
             yield owner.view()
 
@@ -130,7 +130,7 @@
 
     @contextmanager
     def watched_views(self) -> Iterator[asyncio.Event]:
-        """An event that is set whenever a view may have changed."""
+        """Return a context that provides an event, set whenever a view may have changed."""
         event = asyncio.Event()
         self._view_changes.add(event)
         try:
@@ -139,7 +139,7 @@
             self._view_changes.discard(event)
 
     async def close(self) -> None:
-        """Stop acting for every engine."""
+        """Stop acting for every engine, and wait for the hand-overs to end."""
         for engine, (_, owner, task) in list(self._owners.items()):
             task.cancel()
             del self._owners[engine]
--- a/chestnutfall/ownership/engine_sends.py
+++ b/chestnutfall/ownership/engine_send_limit.py
@@ -1,4 +1,4 @@
-"""When an owner may let the next request go to an engine that names a limit."""
+"""Limit and backoff of one engine, as its owner applies them to tickets."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from .messages import TicketRefusal, TicketRequest
 
 LIMITED = "limited"
-LEAVING_MS = 600_000
-"""An engine that leaves is gone long before."""
+LEAVING_BACKOFF_MS = 600_000
+"""Backoff of an engine that is leaving; it is gone long before that."""
 
 
-class EngineSends:
-    """The limit of one incarnation of an engine, as its owner keeps it."""
+class EngineSendLimit:
+    """The limit of one incarnation of an engine, and when its last backoff ends."""
 
     def __init__(self, engine: str, clock: Clock) -> None:
         self._engine = engine
@@ -24,29 +24,29 @@
         self._return_times = ReturnTimes()
         self._backoff_until_ms = 0
 
-    def hear(self, heard: HeardLimit) -> bool:
-        """Take in what an answer said; whether the limit changed by it."""
+    def note_limit(self, heard: HeardLimit) -> bool:
+        """Apply the limit that an answer announced; return whether it changed."""
         return self._limit.hear(heard, self._clock.now_ms())
 
-    def hear_backoff(self, heard: HeardBackoff) -> None:
-        """Take in that the engine asked an entry for time."""
-        left_ms = LEAVING_MS if heard.left_ms is None else heard.left_ms
+    def note_backoff(self, heard: HeardBackoff) -> None:
+        """Record that the engine asked an entry gateway for backoff."""
+        left_ms = LEAVING_BACKOFF_MS if heard.left_ms is None else heard.left_ms
         self._backoff_until_ms = max(self._backoff_until_ms, self._clock.now_ms() + left_ms)
 
     def backoff_ms(self) -> int:
-        """Time until nobody whom it asked for time is left."""
+        """Time until the last backoff asked of any gateway is over."""
         return max(self._backoff_until_ms - self._clock.now_ms(), 0)
 
-    def sent(self) -> None:
-        """Count a request."""
+    def note_sent(self) -> None:
+        """Count a request against the limit."""
         self._limit.note_sent(self._clock.now_ms())
 
     def wait_ms(self, ahead: int) -> int:
-        """Time until the engine takes one more request, behind `ahead` others."""
+        """Time until the limit allows one more request behind `ahead` others."""
         return self._limit.wait_ms(ahead, self._clock.now_ms())
 
     def refusal(self, req: TicketRequest, ahead: int, is_full: bool) -> TicketRefusal | None:
-        """Refuse at once who would wait longer than it can, or finds the queue full.
+        """Refuse a request that the limit delays too long, or that finds the queue full.
 
         Returns
         -------
--- a/chestnutfall/ownership/load_failures.py
+++ b/chestnutfall/ownership/load_failures.py
@@ -1,4 +1,4 @@
-"""Adapters whose load failed, and when to try again."""
+"""Backoff of adapters whose load failed."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class LoadFailures:
-    """Backoff by adapter, doubled with each failure in a row."""
+    """Time before which an adapter is not loaded again, doubled with each failure in a row."""
 
     def __init__(self) -> None:
         self._failures: dict[str, tuple[int, int]] = {}
 
     def failed(self, adapter: str, now_ms: int, backoff_ms: int) -> None:
-        """Note a failed load."""
+        """Record a failed load."""
         count = self._failures.pop(adapter, (0, 0))[0]
         wait_ms = backoff_ms * 2 ** min(count, MAX_DOUBLINGS)
         self._failures[adapter] = (count + 1, now_ms + wait_ms)
@@ -21,9 +21,9 @@
             del self._failures[next(iter(self._failures))]
 
     def loaded(self, adapter: str) -> None:
-        """Forget failures after a success."""
+        """Forget an adapter's failures after a successful load."""
         self._failures.pop(adapter, None)
 
     def wait_ms(self, adapter: str, now_ms: int) -> int:
-        """How long the adapter must not be loaded yet; 0 when it may."""
+        """Time until the adapter may be loaded again; 0 when it may now."""
         return max(self._failures.get(adapter, (0, 0))[1] - now_ms, 0)
--- a/chestnutfall/ownership/load_permits.py
+++ b/chestnutfall/ownership/load_permits.py
@@ -14,7 +14,7 @@
 
 
 class LoadPermits(ABC):
-    """The office's budget of loads, shared by all owners."""
+    """Budget of loads from the weight store, shared by the owners of all engines."""
 
     @abstractmethod
     async def take(self) -> str | None:
@@ -22,11 +22,11 @@
 
     @abstractmethod
     async def end(self, permit_id: str) -> None:
-        """Return a permit; its lease ends it if this is lost."""
+        """Return a permit; if the message is lost, the permit ends with its lease."""
 
 
 class ControllerPermits(LoadPermits):
-    """Permits from the controllers."""
+    """Permits that the controllers issue."""
 
     def __init__(self, client: ControlClient, session: str, clock: Clock) -> None:
         self._client = client
--- a/chestnutfall/ownership/messages.py
+++ b/chestnutfall/ownership/messages.py
@@ -1,4 +1,7 @@
-"""The closed union of messages between an entry gateway and an owner."""
+"""The closed union of messages between an entry gateway and an engine's owner.
+
+The entry gateway is the one that received the caller's request.
+"""
 
 from __future__ import annotations
 
@@ -8,12 +11,12 @@
 from ..signals.messages import HeardBackoff
 from ..wire import Codec
 
-LAST_DISPATCH_MS = 4000
+MAX_DISPATCH_DELAY_MS = 4000
 """How long after a grant was sent its request may still reach the engine.
 
-A stream that is silent for 3 s is closed by its keepalive, and an entry dispatches at once when a
-grant arrives, with 500 ms to connect, and only while its own session's lease is valid.
-"""
+The keepalive closes a stream that is silent for 3 s. An entry gateway sends the request to the
+engine as soon as the grant arrives, with 500 ms to connect, and only while its own session's lease
+is valid."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketRequest:
-    """Ask to run one attempt.
+    """Asks for a ticket to run one attempt.
 
     Attributes
     ----------
@@ -36,9 +39,9 @@
     rank : int
         Priority class, 0 first.
     wait_ms : int
-        How long the entry is ready to wait.
+        How long the request may wait for the ticket.
     limit : HeardLimit or None
-        What the entry knows of the engine's limit; its owner may be new.
+        The engine's limit as the entry gateway knows it; a new owner may not know it yet.
     """
 
     attempt_id: str
@@ -51,7 +54,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketGrant:
-    """The adapter is ready on the engine and pinned for this attempt."""
+    """The adapter is ready on the engine and pinned for this attempt.
+
+    Attributes
+    ----------
+    stalled_ms : int
+        Time that the request waited, if it had to wait for a load; otherwise 0.
+    """
 
     attempt_id: str
     stalled_ms: int
@@ -59,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketRefusal:
-    """No ticket; nothing was run and nothing is pinned."""
+    """There is no ticket; nothing was run and nothing is pinned."""
 
     attempt_id: str
     code: str
@@ -75,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineLimit:
-    """What an answer said of the limit of `engine`."""
+    """The limit that an answer of `engine` announced."""
 
     engine: str
     heard: HeardLimit
@@ -83,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineBackoff:
-    """What an answer to an entry asked of it, for `engine`."""
+    """The backoff that an answer of `engine` asked of an entry gateway."""
 
     engine: str
     heard: HeardBackoff
@@ -91,24 +100,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeSent:
-    """The engine was asked for the rest of a run, which it counts as a request."""
+    """The engine was asked for the rest of a run, which counts as a request against its limit."""
 
     engine: str
 
 
 @dataclass(frozen=True, slots=True)
 class EngineView:
-    """What an owner publishes of an engine.
+    """State of an engine that its owner publishes to the entry gateways.
 
     Attributes
     ----------
     ready : tuple of str
-        Adapters that take new work now.
+        Adapters that new tickets may pin now.
     running, waiting : int
-        Tickets out, and requests that wait for one.
+        Tickets granted and not ended, and requests that wait for one.
     send_wait_ms : int
-        Time until the engine takes one more request than those that wait; also for who was not
-        asked for time, since it was asked of others.
+        Time until the engine takes one more request behind those that wait. It includes any backoff
+        that the engine asked of other gateways, since it would probably refuse this one too.
     """
 
     engine: str
@@ -118,8 +127,8 @@
     send_wait_ms: int = 0
 
 
-OwnerNote = TicketEnd | EngineLimit | EngineBackoff | ResumeSent
-"""What an entry tells an owner without an answer."""
+OwnerNotification = TicketEnd | EngineLimit | EngineBackoff | ResumeSent
+"""Messages of an entry gateway to an owner that have no answer."""
 
 TICKET_CODEC = Codec(
     EngineBackoff,
--- a/chestnutfall/ownership/ticket_queue.py
+++ b/chestnutfall/ownership/ticket_queue.py
@@ -5,41 +5,47 @@
 from collections.abc import Iterator
 
 from .messages import TicketRequest
-from .waiting import Waiting
+from .ticket_waiter import TicketWaiter
 
 FULL = "queue_full"
 FULL_RETRY_MS = 1_000
-"""By then some of those that wait have been served."""
+"""Some of the waiting requests have been served by then."""
 
 
 class TicketQueue:
-    """Who waits, who goes first, and who gives way."""
+    """The waiting requests; the least urgent one gives way when the queue is full."""
 
     def __init__(self) -> None:
-        self._waiting: list[Waiting] = []
+        self._waiting: list[TicketWaiter] = []
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def add(self, waiting: Waiting) -> None:
-        """Take a request in."""
+    def add(self, waiting: TicketWaiter) -> None:
+        """Add a request."""
         self._waiting.append(waiting)
 
-    def remove(self, waiting: Waiting) -> None:
-        """Drop a request, if it is still here."""
+    def remove(self, waiting: TicketWaiter) -> None:
+        """Remove a request if it is still waiting."""
         if waiting in self._waiting:
             self._waiting.remove(waiting)
 
-    def before(self, rank: int) -> int:
-        """Requests at least as urgent as `rank`."""
+    def count_ahead(self, rank: int) -> int:
+        """Number of requests at least as urgent as `rank`."""
         return sum(one.req.rank <= rank for one in self._waiting)
 
-    def wants(self, adapter: str) -> bool:
+    def has_request_for(self, adapter: str) -> bool:
         """Whether a request waits for an adapter."""
         return any(one.req.adapter == adapter for one in self._waiting)
 
     def shed_for(self, req: TicketRequest) -> bool:
-        """Refuse the last of the least urgent requests, if it is less urgent than `req`."""
+        """Refuse the last of the least urgent requests if it is less urgent than `req`.
+
+        Returns
+        -------
+        bool
+            Whether a request was refused, which makes room for `req`.
+        """
         last = max(self._waiting, key=lambda one: (one.req.rank, one.since_ms))
         if last.req.rank <= req.rank:
             return False
@@ -54,14 +60,14 @@
                 waiting.refuse("withdrawn", 0)
 
     def refuse_all(self, code: str, retry_after_ms: int) -> None:
-        """Refuse everybody."""
+        """Refuse all waiting requests."""
         for waiting in self._waiting:
             waiting.refuse(code, retry_after_ms)
 
     def drop_answered(self) -> None:
-        """Forget those that got their answer."""
+        """Remove the requests that were granted or refused."""
         self._waiting = [waiting for waiting in self._waiting if not waiting.fut.done()]
 
-    def by_urgency(self, now_ms: int, aging_ms: int) -> Iterator[Waiting]:
-        """Yield the most urgent first; each `aging_ms` of waiting lifts a request by a class."""
-        yield from sorted(self._waiting, key=lambda waiting: waiting.rank(now_ms, aging_ms))
+    def by_urgency(self, now_ms: int, aging_ms: int) -> Iterator[TicketWaiter]:
+        """Yield the most urgent first; each `aging_ms` of waiting raises a request by one class."""
+        yield from sorted(self._waiting, key=lambda waiting: waiting.sort_key(now_ms, aging_ms))
--- a/chestnutfall/peers/peer_link.py
+++ b/chestnutfall/peers/peer_link.py
@@ -13,7 +13,7 @@
     TICKET_CODEC,
     EngineView,
     Hello,
-    OwnerNote,
+    OwnerNotification,
     TicketEnd,
     TicketGrant,
     TicketRefusal,
@@ -112,7 +112,7 @@
         """Give a ticket back; if the stream is down the owner finds out from the engine."""
         self.tell(msg)
 
-    def tell(self, msg: OwnerNote) -> None:
+    def tell(self, msg: OwnerNotification) -> None:
         """Tell the owner something, if the stream is up."""
         if self._out is not None:
             self._out.put_nowait(msg)
--- a/chestnutfall/peers/peer_links.py
+++ b/chestnutfall/peers/peer_links.py
@@ -11,9 +11,9 @@
 from ..ownership import (
     EngineBackoff,
     EngineLimit,
+    EngineOwners,
     EngineView,
-    OwnerDesk,
-    OwnerNote,
+    OwnerNotification,
     ResumeSent,
     TicketEnd,
     TicketGrant,
@@ -29,7 +29,7 @@
     """Asks whichever gateway owns an engine."""
 
     def __init__(
-        self, agent: SiteAgent, desk: OwnerDesk, clock: Clock, tls: TlsFiles | None
+        self, agent: SiteAgent, desk: EngineOwners, clock: Clock, tls: TlsFiles | None
     ) -> None:
         self._agent = agent
         self._desk = desk
@@ -86,12 +86,12 @@
         """Tell the engine's owner that it was asked for the rest of a run."""
         self._tell(engine, ResumeSent(engine))
 
-    def _tell(self, engine: str, msg: OwnerNote) -> None:
+    def _tell(self, engine: str, msg: OwnerNotification) -> None:
         owner = self._agent.owners.get(engine)
         if owner is None:
             return
         if owner.owner == self._agent.session:
-            self._desk.take(msg)
+            self._desk.handle(msg)
         elif owner.owner in self._links:
             self._links[owner.owner][0].tell(msg)
 
--- a/chestnutfall/peers/peer_server.py
+++ b/chestnutfall/peers/peer_server.py
@@ -10,9 +10,9 @@
 from ..ownership import (
     EngineBackoff,
     EngineLimit,
+    EngineOwners,
     EngineView,
     Hello,
-    OwnerDesk,
     ResumeSent,
     TicketEnd,
     TicketRequest,
@@ -25,7 +25,7 @@
 class PeerServer:
     """Answers each entry gateway's stream by one task, and knows which are connected."""
 
-    def __init__(self, desk: OwnerDesk, clock: Clock) -> None:
+    def __init__(self, desk: EngineOwners, clock: Clock) -> None:
         self._desk = desk
         self._clock = clock
         self._connected: dict[str, int] = {}
@@ -66,7 +66,7 @@
                         waiting.add(task)
                         task.add_done_callback(waiting.discard)
                     case TicketEnd() | EngineLimit() | EngineBackoff() | ResumeSent():
-                        self._desk.take(msg)
+                        self._desk.handle(msg)
         finally:
             # The stream is gone, so a ticket granted now would reach nobody and pin for nothing.
             for task in waiting:
--- a/chestnutfall/programs/gateway.py
+++ b/chestnutfall/programs/gateway.py
@@ -20,7 +20,7 @@
 from ..observability.json_logs import start_logs
 from ..observability.metrics import Metrics
 from ..observability.tracing import start_tracing
-from ..ownership import TICKET_CODEC, OwnerDesk
+from ..ownership import TICKET_CODEC, EngineOwners
 from ..ownership.load_permits import ControllerPermits
 from ..peers import PeerLinks, PeerServer
 from ..peers.peer_server import METHOD as TICKETS_METHOD
@@ -81,7 +81,7 @@
         )
         self._api = HttpEngineApi(UnreadHeaders((*OWN_SIGNALS.all, ATTEMPT_HEADER), metrics.count))
         permits = ControllerPermits(self._client, session, self._clock)
-        self._desk = OwnerDesk(
+        self._desk = EngineOwners(
             self._agent,
             self._registry,
             self._api,
@@ -151,7 +151,7 @@
         return len(self._agent.gateways)
 
     def _on_change(self) -> None:
-        self._desk.match_ownership()
+        self._desk.reconcile_ownership()
         self._links.match_gateways()
 
     def _is_gone(self, session: str) -> bool:
@@ -193,7 +193,7 @@
         """Stop acting for engines when the session's lease runs out without a word."""
         while True:
             await self._clock.sleep_ms(DRAIN_POLL_MS)
-            self._desk.match_ownership()
+            self._desk.reconcile_ownership()
 
     async def _drain(self, agent: asyncio.Task[None]) -> None:
         """Leave without cutting anything off.
--- a/chestnutfall/routing/tickets.py
+++ b/chestnutfall/routing/tickets.py
@@ -6,7 +6,7 @@
 from ..membership import SiteAgent, Upstream, UpstreamRegistry
 from ..observability.metrics import Metrics
 from ..ownership import TicketGrant, TicketRefusal, TicketRequest
-from ..ownership.engine_sends import LIMITED
+from ..ownership.engine_send_limit import LIMITED
 from ..peers import PeerLinks
 from ..requests import CallerRequest, Executed, Refusal
 from ..signals import BACKING_OFF
--- a/chestnutfall/tests/fakes/fake_engine.py
+++ b/chestnutfall/tests/fakes/fake_engine.py
@@ -1,4 +1,4 @@
-"""An engine at the port, with scripted faults and a count of what it ran."""
+"""Fake engines behind `EngineApi`, with scripted faults and records of what they ran."""
 
 from __future__ import annotations
 
@@ -25,17 +25,33 @@
 TOKEN_MS = 10
 LOAD_MS = 200
 DOWN_MS = 500
-"""How long an engine that a request ended is gone."""
+"""Time until an engine that crashed is reachable again."""
 FATAL_TEXT = b"fatal"
-"""A request that contains it ends each engine that runs it."""
+"""A request that contains it crashes each engine that runs it."""
 
 
 class FakeEngine:
-    """What one engine holds, runs and does wrong.
-
-    `faults` names what goes wrong next, each once: `unreachable`, `reset` (after the request was
-    taken), `silent`, `wrong_model`, `wrong_answer`, `short`, `duplicate`, `gap`, `mid_reset`,
-    `mid_silent`, `mixed_up` (one event is of another answer), `load_failure`, `order_lost`.
+    """State, records and scripted faults of one engine.
+
+    Attributes
+    ----------
+    checked : bool
+        Whether it refuses orders with an older epoch than the newest it has seen.
+    faults : Counter of str
+        How often each fault still occurs: `unreachable`, `reset` (after the request was
+        taken), `silent`, `wrong_model`, `wrong_answer`, `short`, `duplicate`, `gap`, `mid_reset`,
+        `mid_silent`, `mixed_up` (one event is of another answer), `load_failure`, `order_lost`,
+        `slow_state`.
+    ran : list of str
+        Attempt ids of all runs, oldest first.
+    crashes : int
+        Crashes caused by requests with `FATAL_TEXT`.
+    limit, backoff : str or None
+        Values of the limit and `Retry-After` headers of its answers.
+    turned_away, arrivals : list of int
+        Clock times in ms of requests refused with a backoff, and of all requests.
+    head_ms : int
+        Time until it begins an answer.
     """
 
     def __init__(self, clock: Clock, slots: int = 2, checked: bool = True) -> None:
@@ -54,7 +70,7 @@
         self.faults: Counter[str] = Counter()
         self.reachable = True
         self.tokens = TOKENS
-        self.ends = 0
+        self.crashes = 0
         self.limit: str | None = None
         self.backoff: str | None = None
         self.leaving = False
@@ -63,31 +79,31 @@
         self.arrivals: list[int] = []
         self.head_ms = 0
 
-    def take(self, fault: str) -> bool:
-        """Whether `fault` is due."""
+    def take_fault(self, fault: str) -> bool:
+        """Whether `fault` is due; counts it as used if so."""
         if not self.faults[fault]:
             return False
         self.faults[fault] -= 1
         return True
 
     def signals(self, status: int) -> UpstreamSignals:
-        """What an answer with this status says."""
-        said = {OWN_SIGNALS.limit: self.limit, "Retry-After": self.backoff}
-        headers = {name: text for name, text in said.items() if text is not None}
+        """Return the signals of an answer with this status."""
+        values = {OWN_SIGNALS.limit: self.limit, "Retry-After": self.backoff}
+        headers = {name: text for name, text in values.items() if text is not None}
         if self.leaving:
             headers[OWN_SIGNALS.leaving] = "1"
         return read_signals(status, headers, OWN_SIGNALS)
 
-    async def end_and_restart(self) -> None:
-        """End as a process does that crashes, and be back later."""
-        self.ends += 1
+    async def crash_and_restart(self) -> None:
+        """Crash, and be reachable again after `DOWN_MS` as a new process."""
+        self.crashes += 1
         self.reachable = False
         self.restart_empty()
         await self.clock.sleep_ms(DOWN_MS)
         self.reachable = True
 
     def restart_empty(self) -> None:
-        """The process is new and holds nothing."""
+        """Replace the process by a new one that holds nothing."""
         self.incarnation += "+"
         self.adapters.clear()
         self.running.clear()
@@ -105,7 +121,7 @@
     def _engine(self, address: str) -> FakeEngine:
         engine = self.by_address[address]
         if not engine.reachable:
-            raise ConnectionError(f"no way to {address}")
+            raise ConnectionError(f"cannot connect to {address}")
         return engine
 
     async def refuses_connections(self, address: str) -> bool:
@@ -114,24 +130,24 @@
 
     async def run(self, address: str, req: EngineRequest) -> Batches:
         engine = self.by_address[address]
-        if not engine.reachable or engine.take("unreachable"):
+        if not engine.reachable or engine.take_fault("unreachable"):
             raise EngineRefused("engine_unreachable", "no connection")
         engine.arrivals.append(engine.clock.now_ms())
         if engine.backoff is not None:
             engine.turned_away.append(engine.clock.now_ms())
             req.on_signals(engine.signals(503), False)
-            raise EngineRefused("overloaded", "asks for time")
+            raise EngineRefused("overloaded", "asks for backoff")
         if engine.adapters.get(req.model) != "ready":
             raise EngineRefused("adapter_not_loaded", "not loaded")
         engine.ran.append(req.attempt_id)
         engine.running[req.attempt_id] = req.model
         engine.events[req.attempt_id] = _events(engine, req)
         if FATAL_TEXT in req.body:
-            asyncio.ensure_future(engine.end_and_restart())  # noqa: RUF006
+            asyncio.ensure_future(engine.crash_and_restart())  # noqa: RUF006
             raise EngineBroken("engine_connection_lost", "reset")
-        if engine.take("reset"):
+        if engine.take_fault("reset"):
             raise EngineBroken("engine_connection_lost", "reset")
-        if engine.take("silent"):
+        if engine.take_fault("silent"):
             await engine.clock.sleep_ms(req.silent_ms)
             raise EngineBroken("engine_silent", "silent")
         async for event in self._events_after(engine, req, 0):
@@ -146,23 +162,23 @@
             await engine.clock.sleep_ms(TOKEN_MS)
             if engine.incarnation != incarnation or req.attempt_id not in engine.running:
                 raise EngineBroken("engine_connection_lost", "gone")
-            if number == 3 and engine.take("mid_reset"):
+            if number == 3 and engine.take_fault("mid_reset"):
                 raise EngineBroken("engine_connection_lost", "reset")
-            if number == 3 and engine.take("mid_silent"):
+            if number == 3 and engine.take_fault("mid_silent"):
                 await engine.clock.sleep_ms(req.silent_ms)
                 raise EngineBroken("engine_silent", "silent")
-            if number == 3 and engine.take("short"):
+            if number == 3 and engine.take_fault("short"):
                 return
-            if number == 3 and engine.take("gap"):
+            if number == 3 and engine.take_fault("gap"):
                 continue
             data = events[number - 1]
-            if number == 3 and engine.take("mixed_up"):
+            if number == 3 and engine.take_fault("mixed_up"):
                 data = data.replace(req.attempt_id.encode(), b"another-callers")
             last = number == len(events)
             if last:
                 engine.running.pop(req.attempt_id, None)
             yield [AnswerEvent(number, data, last)]
-            if number == 3 and engine.take("duplicate"):
+            if number == 3 and engine.take_fault("duplicate"):
                 yield [AnswerEvent(number, data, last)]
 
     async def resume(self, address: str, req: EngineRequest, after: int) -> Batches:
@@ -185,7 +201,7 @@
         state = EngineState(
             engine.incarnation, engine.slots, dict(engine.adapters), dict(engine.running)
         )
-        if engine.take("slow_state"):
+        if engine.take_fault("slow_state"):
             await engine.clock.sleep_ms(400)
         return state
 
@@ -206,7 +222,7 @@
                 return "no_free_slot"
             engine.adapters[order.adapter] = "loading"
             asyncio.ensure_future(_load(engine, order.adapter))  # noqa: RUF006
-        if engine.take("order_lost"):
+        if engine.take_fault("order_lost"):
             raise ConnectionError("the answer to an order was lost")
         return "accepted"
 
@@ -214,7 +230,7 @@
 async def _load(engine: FakeEngine, adapter: str) -> None:
     await engine.clock.sleep_ms(LOAD_MS)
     if adapter in engine.adapters:
-        failed = engine.take("load_failure")
+        failed = engine.take_fault("load_failure")
         engine.loads += not failed
         engine.adapters[adapter] = "failed" if failed else "ready"
         if failed:
@@ -222,8 +238,8 @@
 
 
 def _events(engine: FakeEngine, req: EngineRequest) -> list[bytes]:
-    model = "other@9+0" if engine.take("wrong_model") else req.model
-    answer_id = "cmpl-another-callers" if engine.take("wrong_answer") else req.attempt_id
+    model = "other@9+0" if engine.take_fault("wrong_model") else req.model
+    answer_id = "cmpl-another-callers" if engine.take_fault("wrong_answer") else req.attempt_id
     texts = [
         json.dumps({"id": answer_id, "model": model, "text": f"{req.model} {number}"}).encode()
         for number in range(engine.tokens)
--- a/chestnutfall/tests/fakes/fake_links.py
+++ b/chestnutfall/tests/fakes/fake_links.py
@@ -8,9 +8,9 @@
 from ...clock import Clock
 from ...membership import SiteAgent
 from ...ownership import (
+    EngineOwners,
     EngineView,
-    OwnerDesk,
-    OwnerNote,
+    OwnerNotification,
     TicketGrant,
     TicketRefusal,
     TicketRequest,
@@ -27,7 +27,7 @@
     def __init__(
         self,
         agent: SiteAgent,
-        desk: OwnerDesk,
+        desk: EngineOwners,
         clock: Clock,
         others: Callable[[], dict[str, FakeGateway]],
     ) -> None:
@@ -35,7 +35,7 @@
         self._others = others
         self.cut = False
 
-    def _desk_of(self, session: str) -> OwnerDesk | None:
+    def _desk_of(self, session: str) -> EngineOwners | None:
         if session == self._agent.session:
             return self._desk
         own = self._others().get(self._agent.session)
@@ -54,11 +54,11 @@
             return TicketRefusal(req.attempt_id, "owner_unreachable", 0)
         return await desk.acquire(req, self._agent.session)
 
-    def _tell(self, engine: str, msg: OwnerNote) -> None:
+    def _tell(self, engine: str, msg: OwnerNotification) -> None:
         owner = self._agent.owners.get(engine)
         desk = self._desk_of(owner.owner) if owner else None
         if desk is not None:
-            desk.take(msg)
+            desk.handle(msg)
 
     def views(self) -> Iterator[EngineView]:
         sessions = {one.owner for one in self._agent.owners.values()}
--- a/chestnutfall/tests/fakes/fake_office.py
+++ b/chestnutfall/tests/fakes/fake_office.py
@@ -16,7 +16,7 @@
 from ...limits.known_limits import KnownLimits
 from ...membership import Announcement, SiteAgent, UpstreamRegistry
 from ...observability.metrics import Metrics
-from ...ownership import OwnerDesk
+from ...ownership import EngineOwners
 from ...ownership.load_permits import ControllerPermits
 from ...quarantine import ReportLine, RequestQuarantine
 from ...requests import CallerRequest, digest_of
@@ -48,7 +48,7 @@
             self.session, "127.0.0.1:1", SITE, self.client, self.registry, self.clock, 6000
         )
         permits = ControllerPermits(self.client, self.session, self.clock)
-        self.desk = OwnerDesk(
+        self.desk = EngineOwners(
             self.agent,
             self.registry,
             office.engines,
@@ -92,7 +92,7 @@
         )
         self.registry.is_drained = lambda upstream: self.agent.config.is_drained(upstream)
         self.agent.acting = self.desk.acting
-        self.agent.on_change = self.desk.match_ownership
+        self.agent.on_change = self.desk.reconcile_ownership
         self.tasks = [
             asyncio.ensure_future(self.agent.run()),
             asyncio.ensure_future(self._watch_leases()),
@@ -101,7 +101,7 @@
     async def _watch_leases(self) -> None:
         while True:
             await self.clock.sleep_ms(50)
-            self.desk.match_ownership()
+            self.desk.reconcile_ownership()
 
     async def kill(self) -> None:
         """The process is gone without a word."""
--- a/chestnutfall/tests/test_fatal_completions.py
+++ b/chestnutfall/tests/test_fatal_completions.py
@@ -29,7 +29,7 @@
         await self.office.stop()
 
     def _ends(self) -> int:
-        return sum(engine.ends for engine, _ in self.office.announced.values())
+        return sum(engine.crashes for engine, _ in self.office.announced.values())
 
     async def _refused(self, gateway: FakeGateway) -> Refusal:
         with self.assertRaises(Refusal) as caught:
--- a/chestnutfall/tests/test_ownership.py
+++ b/chestnutfall/tests/test_ownership.py
@@ -1,7 +1,7 @@
-"""Who decides for an engine, and what happens when that gateway is lost.
+"""Ownership of engines, and the loss of the gateway that owns one.
 
-A caller's stream breaks because a new owner evicts what an old one's ticket still uses, or new work
-goes to an engine that is leaving. Owners die, freeze, are cut off or leave in peace.
+A caller's stream breaks if a new owner evicts an adapter that a ticket of the old owner still uses,
+or if new requests go to a leaving engine. The tests kill, freeze, cut off and shut down owners.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
         return asyncio.ensure_future(gateway.answer(gateway.request(model)))
 
     async def test_new_owner_does_not_evict_what_an_old_ticket_uses(self) -> None:
-        # The owner dies while another gateway's long stream runs on its ticket. The new owner
-        # knows nothing of that ticket and is asked for another adapter on the only slot.
+        # The owner is killed while another gateway's long stream runs on its ticket. The new owner
+        # does not know that ticket, and is asked for another adapter on the only slot.
         self.engine.tokens = 1500
         owner = self.office.owner()
         stream = self._start(self.office.other(owner), "a1@1")
@@ -61,8 +61,8 @@
         self.assertEqual(events[-1], b"[DONE]")
 
     async def test_owner_that_was_frozen_sends_no_order_when_it_wakes(self) -> None:
-        # The old owner falls asleep between its decision to load and the order. When it wakes,
-        # another owner acts; an engine that ignores fencing numbers would obey both.
+        # The old owner freezes between its decision to load and the order. When it resumes,
+        # another owner acts; an engine without fencing would carry out the orders of both.
         self.engine.checked = False
         owner = self.office.owner()
         waiting = self._start(owner, "a1@1")
@@ -92,16 +92,16 @@
                 self.assertLessEqual(len(acting), 1, engine)
 
     async def test_owner_that_is_cut_off_stops_before_its_successor_begins(self) -> None:
-        # The owner hears nothing from the controllers but still reaches the engine. It must stop
-        # by its own clock; two owners would evict each other's adapters.
+        # The owner loses the controllers but still reaches the engine. It must stop by its own
+        # clock; two owners would evict each other's adapters.
         owner = self.office.owner()
         owner.client.cut = True
         await self._advance_with_one_acting(5000)
         self.assertIsNot(self.office.owner(), owner)
 
     async def test_engines_move_to_a_new_gateway_without_two_owners(self) -> None:
-        # A host joins and gets its share. Each engine changes hands only after its present owner
-        # has said that it stopped.
+        # A host joins and gets its share of engines. Each engine gets its new owner only after
+        # the present one has confirmed that it stopped.
         for number in range(1, 6):
             self.office.add_engine(f"engine-{number}", 1)
         await self.office.clock.advance(3000)
@@ -120,7 +120,7 @@
         task.cancel()
 
     async def test_owner_that_leaves_hands_over_at_once(self) -> None:
-        # A rolling restart must not cost callers the wait for a lease to run out.
+        # In a rolling restart callers must not wait for a lease to expire.
         owner = self.office.owner()
         entry = self.office.other(owner)
         await self.office.finish(entry.answer(entry.request("a1@1")))
@@ -183,9 +183,9 @@
         for task in tasks:
             await self.office.done(task)
 
-    async def test_engine_that_refuses_a_load_does_not_spend_the_offices_permits(self) -> None:
-        # The only slot is taken by a load that nobody of us ordered. Trying again and again would
-        # leave no permit for the office's other engines.
+    async def test_engine_that_refuses_a_load_does_not_use_up_the_shared_permits(self) -> None:
+        # The only slot is taken by a load that no gateway ordered. Immediate retries would leave
+        # no load permits for other engines.
         self.engine.adapters["unknown@1+00"] = "loading"
         waiting = self._start(self.office.owner(), "a1@1")
         await self.office.clock.advance(5000)
@@ -194,8 +194,8 @@
         self.assertEqual((await self.office.done(waiting))[-1], b"[DONE]")
 
     async def test_late_report_does_not_unload_what_was_loaded_meanwhile(self) -> None:
-        # A report is on its way while a load ends. Read as news, it would drop the slot and with
-        # it the pins of tickets granted since.
+        # A report is requested before a load ends and arrives after it. If it were applied, it
+        # would remove the slot, and with it the pins of tickets granted since.
         owner = self.office.owner()
         acting = owner.desk._owners["engine-0"][1]
         first = self._start(owner, "a1@1")
--- a/properties/safeguards/caller_mutants.py
+++ b/properties/safeguards/caller_mutants.py
@@ -50,7 +50,7 @@
     Mutant(
         "no turn for a cold adapter",
         _OWNER,
-        "                self._close_one(waiting, now_ms)",
+        "                self._drain_one_slot(waiting, now_ms)",
         "                pass",
         _OWNERSHIP_TEST,
     ),
--- a/properties/safeguards/limit_mutants.py
+++ b/properties/safeguards/limit_mutants.py
@@ -117,7 +117,7 @@
     Mutant(
         "owners give tickets without regard to the limit",
         "chestnutfall/ownership/engine_owner.py",
-        "        if self._sends.wait_ms(0):\n            return\n",
+        "        if self._send_limit.wait_ms(0):\n            return\n",
         "",
         _COMPLETIONS,
     ),
