--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 
 from chestnutfall.clock import ManualClock
-from chestnutfall.limits.lone_sends import LoneSends
+from chestnutfall.limits.leaderless_limits import LeaderlessLimits
 from chestnutfall.limits.upstream_limit import UpstreamLimit
 from chestnutfall.platform.standin.limit_history import OVER, SLACK, WINDOW_MS
 
@@ -27,7 +27,7 @@
 
 def _asked(clock: ManualClock, per_s: float, gateways: int, rng: random.Random) -> MaySend:
     limit = UpstreamLimit()
-    limit.take_word(per_s, 0, 0, 0)
+    limit.update(per_s, 0, 0, 0)
 
     def may_send(gateway: int) -> bool:
         if limit.wait_ms(0, clock.now_ms()):
@@ -39,8 +39,8 @@
 
 
 def _shares(clock: ManualClock, per_s: float, gateways: int, rng: random.Random) -> MaySend:
-    shares = [LoneSends(lambda: gateways, clock, rng, 1.0) for _ in range(gateways)]
-    return lambda gateway: shares[gateway].take("i", per_s)
+    shares = [LeaderlessLimits(lambda: gateways, clock, rng, 1.0) for _ in range(gateways)]
+    return lambda gateway: shares[gateway].try_send("i", per_s)
 
 
 def _alone(clock: ManualClock, per_s: float, gateways: int, rng: random.Random) -> MaySend:
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -25,7 +25,7 @@
 from dataclasses import dataclass, replace
 
 from chestnutfall.clock import ManualClock
-from chestnutfall.limits.limit_book import LimitBook
+from chestnutfall.limits.limit_registry import LimitRegistry
 from chestnutfall.limits.messages import HeardLimit
 from chestnutfall.placement import (
     AdapterName,
@@ -153,10 +153,10 @@
     engines: int
     per_s: float
 
-    def begin(self, placer: Placer, book: LimitBook) -> None:
+    def begin(self, placer: Placer, book: LimitRegistry) -> None:
         """Let them name it."""
         for number in range(self.engines):
-            book.hear(HeardLimit(f"e{number}", self.per_s, 0), counts_sends=True)
+            book.update(HeardLimit(f"e{number}", self.per_s, 0), counts_sends=True)
             placer.limit_changed(f"e{number}")
 
     def is_one(self, instance: str) -> bool:
@@ -173,7 +173,7 @@
     """Play a steady load; one line of the table."""
     rng = random.Random(seed)
     clock = ManualClock()
-    book = LimitBook(clock)
+    book = LimitRegistry(clock)
     placer = Placer(clock, book)
     to_limited = 0
     for number in range(office.engines):
--- a/chestnutfall/coordination/leader_term.py
+++ b/chestnutfall/coordination/leader_term.py
@@ -14,7 +14,7 @@
 from ..control.crash_keeper import CrashKeeper
 from ..control.crash_messages import AnsweredRun, BrokenRun, CrashReport
 from ..control.upstream_record import UpstreamRecord
-from ..limits.limit_book import LimitBook
+from ..limits.limit_registry import LimitRegistry
 from ..limits.messages import AskTurn, HeardLimit
 from ..placement import AdapterName, Decision, Grant, PlaceRequest, Reject, RunOutcome
 from ..placement.placer import Placer
@@ -73,7 +73,7 @@
         self._state = state
         self._codec = codec
         self._clock = clock
-        limits, backoffs = LimitBook(clock), BackoffBook(clock)
+        limits, backoffs = LimitRegistry(clock), BackoffBook(clock)
         self._placer = Placer(clock, limits, backoffs)
         self._repeats = RepeatPool(repeats, clock)
         self._quotas = QuotaLedger(quotas, clock)
--- a/chestnutfall/coordination/limit_desk.py
+++ b/chestnutfall/coordination/limit_desk.py
@@ -6,9 +6,9 @@
 
 from ..clock import Clock
 from ..control.upstream_record import UpstreamRecord
-from ..limits.limit_book import LimitBook
+from ..limits.limit_registry import LimitRegistry
 from ..limits.messages import AskTurn, HeardLimit, LimitsInForce, RequestLimit
-from ..limits.plain_turns import PlainTurns
+from ..limits.plain_send_queues import PlainSendQueues
 from ..placement.placer import Placer
 from ..signals.backoff_book import BackoffBook
 from .gateway_session import GatewaySession
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        book: LimitBook,
+        book: LimitRegistry,
         backoffs: BackoffBook,
         placer: Placer,
         sessions: GatewaySessions,
@@ -37,7 +37,7 @@
         self._sessions = sessions
         self._clock = clock
         self._serving: dict[str, list[str]] = {}
-        self._turns: PlainTurns[GatewaySession] = PlainTurns(
+        self._turns: PlainSendQueues[GatewaySession] = PlainSendQueues(
             book,
             lambda service: self._serving.get(service, []),
             lambda session, instance: backoffs.may_send(session.gateway, instance),
@@ -62,11 +62,11 @@
     def hear(self, session: GatewaySession, heard: HeardLimit) -> None:
         """Take in what an answer said."""
         is_engine = heard.instance in self._placer.engines
-        if self._book.hear(heard, counts_sends=is_engine):
+        if self._book.update(heard, counts_sends=is_engine):
             self._placer.limit_changed(heard.instance)
             return
         # A gateway that missed how a limit changed would go on by what it knew.
-        holds_per_s = self._book.named_per_s(heard.instance)
+        holds_per_s = self._book.declared_per_s(heard.instance)
         if holds_per_s is None and heard.per_s is not None:
             session.send(LimitsInForce((), (heard.instance,)))
         elif holds_per_s is not None and holds_per_s != heard.per_s:
@@ -74,11 +74,11 @@
 
     def ask(self, session: GatewaySession, asked: AskTurn) -> None:
         """Queue a call that wants a turn."""
-        self._turns.ask(asked, session)
+        self._turns.enqueue(asked, session)
 
     def part(self, session: GatewaySession) -> None:
         """Drop the calls of a gateway that is gone."""
-        self._turns.forget(session)
+        self._turns.drop_gateway(session)
 
     def greet(self, session: GatewaySession) -> None:
         """Tell a gateway that has just come all limits."""
--- a/chestnutfall/forwarding/engine_places.py
+++ b/chestnutfall/forwarding/engine_places.py
@@ -126,7 +126,7 @@
             and self._signals.may_send(held.instance)
         )
         for held, upstream in sorted(found, key=lambda one: self._without_leader[one[0].instance]):
-            if self._signals.limits.may_send_alone(held.instance):
+            if self._signals.limits.may_send_without_leader(held.instance):
                 self._without_leader[held.instance] += 1
                 log.info("place: ticket=%s from memory instance=%s", req.ticket, held.instance)
                 return Place(req.ticket, upstream, held.version)
--- a/chestnutfall/forwarding/limited_turns.py
+++ b/chestnutfall/forwarding/limited_turns.py
@@ -7,7 +7,7 @@
 from ..clock import Clock
 from ..control.upstream_record import UpstreamRecord
 from ..limits.messages import AnswerTurn
-from ..limits.plain_turns import NO_UPSTREAM_MS
+from ..limits.plain_send_queues import NO_UPSTREAM_RETRY_MS
 from ..signals.known_signals import KnownSignals
 from .engine_places import NO_LEADER_RETRY_MS
 from .fleet_client import LeaderLost
@@ -65,12 +65,12 @@
             if one.instance == answer.instance:
                 return one
         if free is None:
-            raise NoPlace("no_upstream", NO_UPSTREAM_MS)
+            raise NoPlace("no_upstream", NO_UPSTREAM_RETRY_MS)
         return free
 
     def _alone(self, can_take: Sequence[UpstreamRecord]) -> UpstreamRecord:
         """The best one that this gateway may send to without a leader."""
         for one in can_take:
-            if self._limits.may_send_alone(one.instance):
+            if self._limits.may_send_without_leader(one.instance):
                 return one
         raise NoPlace("no_leader", NO_LEADER_RETRY_MS)
--- a/chestnutfall/forwarding/plain_places.py
+++ b/chestnutfall/forwarding/plain_places.py
@@ -9,7 +9,7 @@
 
 from ..clock import Clock
 from ..control.upstream_record import UpstreamRecord
-from ..limits.plain_turns import NO_UPSTREAM_MS
+from ..limits.plain_send_queues import NO_UPSTREAM_RETRY_MS
 from ..placement import RunOutcome
 from ..placement.run_times import RunTimes
 from ..placement.upstream_health import UpstreamHealth
@@ -72,7 +72,7 @@
             chosen = await self._turns.choose(wanted, can_take or by_cost, self._upstreams)
         known = self._of(chosen)
         if known.health.is_ejected(self._clock.now_ms()) and chosen.instance in wanted.avoid:
-            raise NoPlace("unreachable", NO_UPSTREAM_MS)
+            raise NoPlace("unreachable", NO_UPSTREAM_RETRY_MS)
         known.own += 1
         has_other = any(self._can_take(one, wanted.avoid) for one in upstreams if one is not chosen)
         return Place(f"plain-{next(self._numbers)}", chosen, 0, has_other=has_other)
@@ -86,7 +86,7 @@
         """
         upstreams = self._upstreams(service)
         if not upstreams:
-            raise NoPlace("no_upstream", NO_UPSTREAM_MS)
+            raise NoPlace("no_upstream", NO_UPSTREAM_RETRY_MS)
         wanting = [one for one in upstreams if self._signals.may_send(one.instance)]
         if wanting:
             return wanting
--- a/chestnutfall/forwarding/send_log.py
+++ b/chestnutfall/forwarding/send_log.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from ..limits.limit_word import limit_text
+from ..limits.limit_signal import limit_text
 from ..routes import Route
 from ..signals.backoff_word import backoff_text
 from .place import Place
--- a/chestnutfall/limits/__init__.py
+++ b/chestnutfall/limits/__init__.py
@@ -1,7 +1,7 @@
-"""How many requests upstreams take that name a limit."""
+"""Limits on the requests per second that upstreams accept, as declared in their answers."""
 
 from __future__ import annotations
 
-from .limit_word import LimitWord, Named, Unnamed, Unreadable, read_limit
+from .limit_signal import DeclaredLimit, LimitSignal, UndeclaredLimit, UnreadableLimit, read_limit
 
-__all__ = ["LimitWord", "Named", "Unnamed", "Unreadable", "read_limit"]
+__all__ = ["DeclaredLimit", "LimitSignal", "UndeclaredLimit", "UnreadableLimit", "read_limit"]
--- a/chestnutfall/limits/known_limits.py
+++ b/chestnutfall/limits/known_limits.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of the limits that upstreams name."""
+"""The limits of upstreams as one gateway knows them."""
 
 from __future__ import annotations
 
@@ -7,120 +7,128 @@
 from collections.abc import Callable
 
 from ..clock import Clock
-from .latest_word import LatestWord
-from .limit_word import LimitWord, Named, Unnamed, Unreadable
-from .lone_sends import LONE_PART, LoneSends
+from .latest_limit import LatestLimit
+from .leaderless_limits import LEADERLESS_FRACTION, LeaderlessLimits
+from .limit_signal import DeclaredLimit, LimitSignal, UndeclaredLimit, UnreadableLimit
 from .messages import HeardLimit, LimitsInForce
 
 log = logging.getLogger(__name__)
-MOST_LIMITS = 4_096
-"""Upstreams whose limits one gateway remembers; those that were heard of last are kept."""
+MAX_LIMITS = 4_096
+"""Upstreams whose limits one gateway keeps; those updated most recently stay."""
 
 
 class KnownLimits:
-    """Tells the leader what answers say, and keeps what holds for all gateways.
+    """Limits from the answers to this gateway, which it reports, and from the leader's messages.
 
     Parameters
     ----------
-    tell : callable
-        Sends a message to the leader, if there is one.
+    send_report : callable
+        Sends a message to the leader or the engine's owner; drops it if there is none.
     gateways : callable
-        How many gateways share what upstreams take.
-    lone_part : float
-        Part of a limit that gateways share who send without a word from anybody.
+        Returns the number of gateways that share each upstream.
+    leaderless_fraction : float
+        Fraction of a limit that gateways share while they have no leader; 1 if the upstreams never
+        have one.
     """
 
     def __init__(
         self,
-        tell: Callable[[HeardLimit], None],
+        send_report: Callable[[HeardLimit], None],
         gateways: Callable[[], int],
         clock: Clock,
         rng: random.Random,
-        lone_part: float = LONE_PART,
+        leaderless_fraction: float = LEADERLESS_FRACTION,
     ) -> None:
-        self._tell = tell
+        self._send_report = send_report
         self._clock = clock
-        self._words: dict[str, LatestWord] = {}
+        self._latest: dict[str, LatestLimit] = {}
         self._unreadable: dict[str, str] = {}
-        self._lone = LoneSends(gateways, clock, rng, lone_part)
+        self._leaderless = LeaderlessLimits(gateways, clock, rng, leaderless_fraction)
 
     def __len__(self) -> int:
-        return len(self._words)
+        return len(self._latest)
 
     def per_s(self, instance: str) -> float | None:
-        """Requests a second that an upstream takes; None for no limit."""
-        word = self._words.get(instance)
-        return word.per_s if word is not None else None
+        """Requests per second that an upstream accepts; None for no limit."""
+        latest = self._latest.get(instance)
+        return latest.per_s if latest is not None else None
 
-    def hear(self, instance: str, word: LimitWord, sent_ms: int, succeeded: bool) -> None:
-        """Take in what the answer to a request said that was sent at `sent_ms`.
+    def observe(self, instance: str, signal: LimitSignal, sent_ms: int, succeeded: bool) -> None:
+        """Apply the limit signal of an answer, and report it.
 
         Parameters
         ----------
+        sent_ms : int
+            Clock time at which the request was sent.
         succeeded : bool
-            Whether it was a success. A failure may come from a part of the upstream that knows
-            nothing of its limit, so that it ends none.
+            Whether the answer is a success. A failure without a limit removes none, since it may
+            come from a part of the upstream that does not know its limit.
         """
-        match word:
-            case Named(per_s):
-                self._note(instance, per_s, sent_ms)
-            case Unnamed() if succeeded and instance in self._words:
-                self._note(instance, None, sent_ms)
-            case Unreadable(text) if self._unreadable.get(instance) != text:
+        match signal:
+            case DeclaredLimit(per_s):
+                self._record(instance, per_s, sent_ms)
+            case UndeclaredLimit() if succeeded and instance in self._latest:
+                self._record(instance, None, sent_ms)
+            case UnreadableLimit(text) if self._unreadable.get(instance) != text:
                 log.warning(
-                    "limit: instance=%s unreadable %r, a number is expected", instance, text
+                    "limit: instance=%s unreadable limit %r, expected a number", instance, text
                 )
                 self._unreadable[instance] = text
-                if len(self._unreadable) > MOST_LIMITS:
+                if len(self._unreadable) > MAX_LIMITS:
                     self._unreadable.pop(next(iter(self._unreadable)))
             case _:
                 pass
 
-    def _note(self, instance: str, per_s: float | None, sent_ms: int) -> None:
+    def _record(self, instance: str, per_s: float | None, sent_ms: int) -> None:
         now_ms = self._clock.now_ms()
-        self._take(instance, per_s, sent_ms, now_ms)
-        self._tell(HeardLimit(instance, per_s, now_ms - sent_ms))
-
-    def _take(self, instance: str, per_s: float | None, asked_ms: float, heard_ms: float) -> None:
-        # What was heard of last stands last.
-        word = self._words.pop(instance, None) or LatestWord()
-        word.take(per_s, asked_ms, heard_ms)
-        if word.per_s is None:
+        self._update(instance, per_s, sent_ms, now_ms)
+        self._send_report(HeardLimit(instance, per_s, now_ms - sent_ms))
+
+    def _update(
+        self, instance: str, per_s: float | None, sent_ms: float, received_ms: float
+    ) -> None:
+        # Reinserting keeps the dictionary in order of the last update, the oldest first.
+        latest = self._latest.pop(instance, None) or LatestLimit()
+        latest.update(per_s, sent_ms, received_ms)
+        if latest.per_s is None:
             return
-        self._words[instance] = word
-        if len(self._words) > MOST_LIMITS:
-            self._words.pop(next(iter(self._words)))
+        self._latest[instance] = latest
+        if len(self._latest) > MAX_LIMITS:
+            self._latest.pop(next(iter(self._latest)))
 
-    def take(self, told: LimitsInForce) -> None:
-        """Take over what the leader tells; it has heard of all gateways' answers."""
+    def apply(self, update: LimitsInForce) -> None:
+        """Apply limits from the leader, which has the reports of all gateways."""
         now_ms = self._clock.now_ms()
-        for instance in told.ended:
-            self._words.pop(instance, None)
-        for limit in told.limits:
-            self._take(limit.instance, limit.per_s, now_ms, now_ms)
-
-    def again(self) -> tuple[HeardLimit, ...]:
-        """What to tell a leader that has just begun."""
-        self._lone.leader_found()
+        for instance in update.ended:
+            self._latest.pop(instance, None)
+        for limit in update.limits:
+            self._update(limit.instance, limit.per_s, now_ms, now_ms)
+
+    def reports_for_new_leader(self) -> tuple[HeardLimit, ...]:
+        """Reports of all known limits, for a leader that has just started its term.
+
+        Also ends the counts of `may_send_without_leader`.
+        """
+        self._leaderless.leader_found()
         now_ms = self._clock.now_ms()
-        return tuple(_as_heard(name, word, now_ms) for name, word in self._words.items())
+        return tuple(_as_report(name, latest, now_ms) for name, latest in self._latest.items())
 
-    def heard(self, instance: str) -> HeardLimit | None:
-        """What to tell somebody who decides about one upstream."""
-        word = self._words.get(instance)
-        return _as_heard(instance, word, self._clock.now_ms()) if word is not None else None
+    def report_for_owner(self, instance: str) -> HeardLimit | None:
+        """The report of one upstream's limit, for its owner; None if there is no limit."""
+        latest = self._latest.get(instance)
+        return _as_report(instance, latest, self._clock.now_ms()) if latest is not None else None
 
-    def may_send_alone(self, instance: str) -> bool:
-        """Whether this gateway may send a request there without a leader; counts it if so."""
+    def may_send_without_leader(self, instance: str) -> bool:
+        """Return whether a request may be sent without asking a leader, and count it if so."""
         per_s = self.per_s(instance)
-        return per_s is None or self._lone.take(instance, per_s)
+        return per_s is None or self._leaderless.try_send(instance, per_s)
 
-    def lone_step_ms(self, instance: str) -> float:
-        """Time between two requests that this gateway may send there by itself."""
+    def leaderless_interval_ms(self, instance: str) -> float:
+        """Mean time between two requests that this gateway may send without a leader."""
         per_s = self.per_s(instance)
-        return self._lone.step_ms(per_s) if per_s is not None else 0.0
+        return self._leaderless.interval_ms(per_s) if per_s is not None else 0.0
 
 
-def _as_heard(instance: str, word: LatestWord, now_ms: int) -> HeardLimit:
-    asked_ago_ms, heard_ago_ms = int(now_ms - word.asked_ms), int(now_ms - word.heard_ms)
-    return HeardLimit(instance, word.per_s, asked_ago_ms, heard_ago_ms)
+def _as_report(instance: str, latest: LatestLimit, now_ms: int) -> HeardLimit:
+    asked_ago_ms, heard_ago_ms = int(now_ms - latest.sent_ms), int(now_ms - latest.received_ms)
+    return HeardLimit(instance, latest.per_s, asked_ago_ms, heard_ago_ms)
--- a/chestnutfall/limits/messages.py
+++ b/chestnutfall/limits/messages.py
@@ -1,4 +1,4 @@
-"""What gateways and those who decide for upstreams tell each other of limits."""
+"""Messages about limits between gateways and the processes that schedule requests."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True, slots=True)
 class HeardLimit:
-    """What an upstream said of the requests a second that it takes.
+    """A gateway reports the limit that an upstream's answer declared.
 
     Attributes
     ----------
     per_s : float or None
-        None where it names no limit any more.
+        Requests per second; None if the upstream no longer declares a limit.
     asked_ago_ms : int
-        Time since the request was sent that it answered so.
+        Time since the gateway sent the request that was answered so.
     heard_ago_ms : int
-        Time since that answer came.
+        Time since the gateway received that answer.
     """
 
     instance: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimit:
-    """Requests a second that an upstream takes from all gateways together."""
+    """Requests per second that an upstream accepts from all gateways together."""
 
     instance: str
     per_s: float
@@ -35,7 +35,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitsInForce:
-    """Limits that are new or have changed, and upstreams that name none any more."""
+    """The leader tells gateways which limits are new or changed, and which have ended.
+
+    Attributes
+    ----------
+    ended : tuple of str
+        Instances that no longer declare a limit.
+    """
 
     limits: tuple[RequestLimit, ...]
     ended: tuple[str, ...] = ()
@@ -43,20 +49,20 @@
 
 @dataclass(frozen=True, slots=True)
 class AskTurn:
-    """A gateway asks for a send to any upstream of a plain service that names a limit.
+    """A gateway asks to send a call to any limited upstream of a plain service.
 
     Attributes
     ----------
     number : int
-        Names the question in its answer.
+        Identifies the question; repeated in its answer.
     avoid : tuple of str
-        Instances that failed this call before.
+        Instances that already failed this call.
     organisation : str
-        Whose call it is; empty where nobody needs a key.
+        The organisation whose call it is; empty if the service requires no key.
     rank : int
-        Urgency, 0 is first.
+        Urgency; 0 goes first.
     wait_ms : int
-        How long the call can wait; 0 where another upstream would take it at once.
+        How long the call can wait; 0 if another upstream would accept it at once.
     """
 
     number: int
@@ -69,14 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerTurn:
-    """The upstream that the call of question `number` may go to now.
+    """Answers question `number`: the call goes to `instance` now, or is refused.
 
     Attributes
     ----------
     instance : str
-        Empty where none takes it in time.
+        Empty if no upstream accepts the call in time.
     retry_after_ms : int
-        When one might, then.
+        For a refused call, the time after which an upstream may accept it.
     """
 
     number: int
--- a/chestnutfall/limits/plain_turns.py
+++ b/chestnutfall/limits/plain_send_queues.py
@@ -1,4 +1,4 @@
-"""Whose call goes next to a plain service's upstreams that name limits."""
+"""Queues of calls to the limited upstreams of plain services, kept by the leader."""
 
 from __future__ import annotations
 
@@ -9,28 +9,30 @@
 from ..clock import Clock
 from ..quota.fair_share import FairShare
 from ..quota.return_times import ReturnTimes
-from .limit_book import LimitBook
+from .limit_registry import LimitRegistry
 from .messages import AnswerTurn, AskTurn
 from .upstream_limit import UpstreamLimit
 
-NO_UPSTREAM_MS = 300
+NO_UPSTREAM_RETRY_MS = 300
 """A plain upstream is found again with its next heartbeat or answer."""
-MOST_WAITING = 4_096
-"""Calls that wait here at a time; more can't be served within any call's time."""
+MAX_WAITING_CALLS = 4_096
+"""Calls that wait per service; more can't be served within any call's time."""
 
 
 Gateway = TypeVar("Gateway")
-"""Whatever tells one gateway from another."""
+"""Identifies one gateway; compared for equality."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Waiting(Generic[Gateway]):
-    """A call in the queue.
+    """A queued call.
 
     Attributes
     ----------
+    since_ms : int
+        Clock time at which it was queued.
     tag : float
-        Its place among all organisations' calls, by `FairShare`.
+        Its start tag from `FairShare`, which orders the calls of all organisations.
     """
 
     asked: AskTurn
@@ -40,37 +42,37 @@
 
     @property
     def order(self) -> tuple[int, float, int]:
-        """Most urgent first, then the least served organisation, then first come."""
+        """Sort key: urgency, then the least served organisation, then time of arrival."""
         return self.asked.rank, self.tag, self.since_ms
 
 
 @dataclass(frozen=True, slots=True)
-class Turn(Generic[Gateway]):
-    """An answer for a gateway."""
+class AddressedAnswer(Generic[Gateway]):
+    """An answer and the gateway that it goes to."""
 
     gateway: Gateway
     answer: AnswerTurn
 
 
-class PlainTurns(Generic[Gateway]):
-    """One queue for each service.
+class PlainSendQueues(Generic[Gateway]):
+    """Decides which call goes next to the limited upstreams of each plain service.
 
     Parameters
     ----------
     serving : callable
-        Instances of a service that take work now.
+        Returns the instances of a service that serve at present.
     may_send : callable
-        Whether an instance wants work from a gateway.
+        Whether a gateway may send to an instance, given its backoffs.
     """
 
     def __init__(
         self,
-        book: LimitBook,
+        limits: LimitRegistry,
         serving: Callable[[str], Sequence[str]],
         may_send: Callable[[Gateway, str], bool],
         clock: Clock,
     ) -> None:
-        self._book = book
+        self._limits = limits
         self._serving = serving
         self._may_send = may_send
         self._clock = clock
@@ -80,31 +82,34 @@
 
     @property
     def waiting(self) -> int:
-        """Calls that wait."""
+        """Number of queued calls over all services."""
         return sum(len(queue) for queue in self._queues.values())
 
-    def ask(self, asked: AskTurn, gateway: Gateway) -> None:
-        """Queue a call; `due` answers it."""
+    def enqueue(self, asked: AskTurn, gateway: Gateway) -> None:
+        """Queue a call; a later `due` yields its answer."""
         queue = self._queues.setdefault(asked.service, [])
         share = self._shares.setdefault(asked.service, FairShare())
         tag = share.tag(asked.organisation, 1)
         queue.append(_Waiting(asked, gateway, self._clock.now_ms(), tag))
 
-    def forget(self, gateway: Gateway) -> None:
-        """Drop the calls of a gateway that is gone."""
+    def drop_gateway(self, gateway: Gateway) -> None:
+        """Drop the calls of a gateway whose session ended."""
         for service, queue in self._queues.items():
             self._queues[service] = [one for one in queue if one.gateway != gateway]
 
-    def due(self) -> Iterator[Turn[Gateway]]:
-        """Yield the answers that can be given now."""
+    def due(self) -> Iterator[AddressedAnswer[Gateway]]:
+        """Yield the answers that can be given now, and remove their calls from the queues."""
         for service in list(self._queues):
             yield from self._due_of(service)
             if not self._queues[service]:
                 del self._queues[service]
 
-    def _due_of(self, service: str) -> Iterator[Turn[Gateway]]:
+    def _due_of(self, service: str) -> Iterator[AddressedAnswer[Gateway]]:
         now_ms = self._clock.now_ms()
-        limits = {one: self._book.of(one, counts_sends=False) for one in self._serving(service)}
+        limits = {
+            one: self._limits.get_or_create(one, counts_sends=False)
+            for one in self._serving(service)
+        }
         free = {one: limit for one, limit in limits.items() if not limit.wait_ms(0, now_ms)}
         in_order: list[_Waiting[Gateway]] = []
         for waiting in sorted(self._queues[service], key=lambda one: one.order):
@@ -116,53 +121,58 @@
             if limits[instance].wait_ms(0, now_ms):
                 del free[instance]
             self._shares[service].served(waiting.tag)
-            yield Turn(waiting.gateway, AnswerTurn(waiting.asked.number, instance))
-        yield from self._left_of(service, in_order, _Queue.before(limits.values(), now_ms), now_ms)
+            yield AddressedAnswer(waiting.gateway, AnswerTurn(waiting.asked.number, instance))
+        yield from self._keep_or_refuse(
+            service, in_order, _SendPace.of(limits.values(), now_ms), now_ms
+        )
 
     def _best(self, waiting: _Waiting[Gateway], free: dict[str, UpstreamLimit], now_ms: int) -> str:
-        """The upstream with most room, one that failed the call only if no other has any."""
-        wants = [one for one in free if self._may_send(waiting.gateway, one)]
+        """Return the upstream with the most room; one that failed this call only as a last resort.
+
+        Empty if the gateway may send to none of them.
+        """
+        allowed = [one for one in free if self._may_send(waiting.gateway, one)]
         avoid = waiting.asked.avoid
-        return max(wants, key=lambda one: _worth(one, free[one], avoid, now_ms), default="")
+        return max(allowed, key=lambda one: _preference(one, free[one], avoid, now_ms), default="")
 
-    def _left_of(
-        self, service: str, in_order: list[_Waiting[Gateway]], queue: _Queue, now_ms: int
-    ) -> Iterator[Turn[Gateway]]:
-        """Keep those that can wait, and yield the others' answers."""
+    def _keep_or_refuse(
+        self, service: str, in_order: list[_Waiting[Gateway]], pace: _SendPace, now_ms: int
+    ) -> Iterator[AddressedAnswer[Gateway]]:
+        """Keep the calls that are expected to be sent in time, and yield refusals of the others."""
         left: list[_Waiting[Gateway]] = []
         for waiting in in_order:
             asked = waiting.asked
-            wait_ms = queue.first_ms + len(left) * queue.step_ms
+            wait_ms = pace.first_ms + len(left) * pace.interval_ms
             has_time = now_ms + wait_ms <= waiting.since_ms + asked.wait_ms
-            if has_time and len(left) < MOST_WAITING:
+            if has_time and len(left) < MAX_WAITING_CALLS:
                 left.append(waiting)
                 continue
             retry_ms = int(wait_ms)
             if asked.wait_ms:
-                retry_ms = self._return_times.wait_ms(service, wait_ms, queue.step_ms, now_ms)
-            yield Turn(waiting.gateway, AnswerTurn(asked.number, "", retry_ms))
+                retry_ms = self._return_times.wait_ms(service, wait_ms, pace.interval_ms, now_ms)
+            yield AddressedAnswer(waiting.gateway, AnswerTurn(asked.number, "", retry_ms))
         self._queues[service] = left
 
 
 @dataclass(frozen=True, slots=True)
-class _Queue:
-    """How a queue before limited upstreams moves: time to the next send, and between two."""
+class _SendPace:
+    """Time until the next send to a service's limited upstreams, and between later sends."""
 
     first_ms: float
-    step_ms: float
+    interval_ms: float
 
     @staticmethod
-    def before(limits: Iterable[UpstreamLimit], now_ms: int) -> _Queue:
-        """The queue before some upstreams, of which those without a limit don't count."""
+    def of(limits: Iterable[UpstreamLimit], now_ms: int) -> _SendPace:
+        """The pace of some upstreams together; those without a limit don't count."""
         limited = [limit for limit in limits if limit.per_s is not None]
         if not limited:
-            return _Queue(NO_UPSTREAM_MS, 0)
+            return _SendPace(NO_UPSTREAM_RETRY_MS, 0)
         per_s = sum(limit.per_s or 0.0 for limit in limited)
-        return _Queue(min(limit.wait_ms(0, now_ms) for limit in limited), 1000 / per_s)
+        return _SendPace(min(limit.wait_ms(0, now_ms) for limit in limited), 1000 / per_s)
 
 
-def _worth(
+def _preference(
     instance: str, limit: UpstreamLimit, avoid: tuple[str, ...], now_ms: int
 ) -> tuple[bool, bool, float]:
-    # Gateways send to those without a limit by themselves; they ask here for the others.
+    # Gateways send to upstreams without a limit on their own, and ask here for the limited ones.
     return instance not in avoid, limit.per_s is not None, limit.level(now_ms)
--- a/chestnutfall/ownership/engine_send_limit.py
+++ b/chestnutfall/ownership/engine_send_limit.py
@@ -26,7 +26,7 @@
 
     def note_limit(self, heard: HeardLimit) -> bool:
         """Apply the limit that an answer announced; return whether it changed."""
-        return self._limit.hear(heard, self._clock.now_ms())
+        return self._limit.apply_report(heard, self._clock.now_ms())
 
     def note_backoff(self, heard: HeardBackoff) -> None:
         """Record that the engine asked an entry gateway for backoff."""
--- a/chestnutfall/placement/placer.py
+++ b/chestnutfall/placement/placer.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from ..clock import Clock
-from ..limits.limit_book import LimitBook
+from ..limits.limit_registry import LimitRegistry
 from ..quota.fair_share import FairShare
 from ..routes import EngineSpec
 from ..signals.backoff_book import BackoffBook
@@ -49,11 +49,11 @@
     def __init__(
         self,
         clock: Clock,
-        limits: LimitBook | None = None,
+        limits: LimitRegistry | None = None,
         backoffs: BackoffBook | None = None,
     ) -> None:
         self._clock = clock
-        self._limits = limits or LimitBook(clock)
+        self._limits = limits or LimitRegistry(clock)
         self._backoffs = backoffs or BackoffBook(clock)
         self.engines: dict[str, Engine] = {}
         self.kinds = EngineKinds()
@@ -79,7 +79,7 @@
             return
         kind, speed = self.kinds.of(service), self.kinds.prefill_speed_of(service)
         store = self.kinds.store_times_of(service)
-        limit, backoff = self._limits.of(instance), self._backoffs.of(instance)
+        limit, backoff = self._limits.get_or_create(instance), self._backoffs.of(instance)
         self.engines[instance] = Engine(
             instance, service, data_centre, spec, kind, speed, store, limit, backoff
         )
--- a/chestnutfall/plain_edge/plain_proxy.py
+++ b/chestnutfall/plain_edge/plain_proxy.py
@@ -172,7 +172,7 @@
         turn = self._turn % len(choices) if choices else 0
         in_turn = [*choices[turn:], *choices[:turn], *(up for up in found if up not in choices)]
         for up in in_turn:
-            if self._signals.limits.may_send_alone(up.instance):
+            if self._signals.limits.may_send_without_leader(up.instance):
                 return up
         if serving and not tried:
             raise self._all_limited(found) if found else self._all_back_off(service, serving)
@@ -184,7 +184,7 @@
         return Refusal(503, BACKING_OFF, "no upstream wants calls now", Executed.NO, wait_ms)
 
     def _all_limited(self, upstreams: list[Upstream]) -> Refusal:
-        wait_ms = min(self._signals.limits.lone_step_ms(up.instance) for up in upstreams)
+        wait_ms = min(self._signals.limits.leaderless_interval_ms(up.instance) for up in upstreams)
         message = "each upstream takes no more requests than it gets"
         return Refusal(503, "limited", message, Executed.NO, int(wait_ms))
 
--- a/chestnutfall/routing/tickets.py
+++ b/chestnutfall/routing/tickets.py
@@ -108,7 +108,7 @@
         self, req: CallerRequest, attempt_id: str, engine: Upstream
     ) -> TicketGrant | TicketRefusal:
         wait_ms = max(req.deadline_ms - self._clock.now_ms(), 0)
-        limit = self._signals.limits.heard(engine.instance)
+        limit = self._signals.limits.report_for_owner(engine.instance)
         ticket = TicketRequest(
             attempt_id, engine.name, req.model, req.priority.rank, wait_ms, limit
         )
--- a/chestnutfall/signals/known_signals.py
+++ b/chestnutfall/signals/known_signals.py
@@ -32,7 +32,7 @@
 
     def hear(self, instance: str, signals: UpstreamSignals, sent_ms: int, succeeded: bool) -> None:
         """Take in what the answer to a request said that was sent at `sent_ms`."""
-        self.limits.hear(instance, signals.limit, sent_ms, succeeded)
+        self.limits.observe(instance, signals.limit, sent_ms, succeeded)
         self.backoffs.hear(instance, signals)
         if succeeded:
             self.backoffs.note_served(instance)
@@ -48,7 +48,7 @@
 
     def again(self) -> tuple[HeardLimit | HeardBackoff, ...]:
         """What to tell a leader that has just begun."""
-        return (*self.limits.again(), *self.backoffs.again())
+        return (*self.limits.reports_for_new_leader(), *self.backoffs.again())
 
     def held_back_ms(self, instances: Iterable[str]) -> float:
         """Time until the first of some upstreams takes work; 0 if one does, or there is none.
--- a/chestnutfall/signals/upstream_signals.py
+++ b/chestnutfall/signals/upstream_signals.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from ..limits import LimitWord, Unnamed
+from ..limits import LimitSignal, UndeclaredLimit
 from .backoff_word import BackoffWord, NoBackoff
 from .upstream_load import UpstreamLoad
 
@@ -15,7 +15,7 @@
 
     Attributes
     ----------
-    limit : LimitWord
+    limit : LimitSignal
         Requests a second that it takes from all gateways together.
     backoff : BackoffWord
         For how long it wants no request from the gateway that it answers.
@@ -25,7 +25,7 @@
         What it has to do, if it tells.
     """
 
-    limit: LimitWord = field(default_factory=Unnamed)
+    limit: LimitSignal = field(default_factory=UndeclaredLimit)
     backoff: BackoffWord = field(default_factory=NoBackoff)
     leaving: bool = False
     load: UpstreamLoad | None = None
--- a/chestnutfall/tests/fakes/fake_office.py
+++ b/chestnutfall/tests/fakes/fake_office.py
@@ -70,7 +70,7 @@
             lambda: len(self.agent.gateways),
             self.clock,
             random.Random(1),
-            lone_part=1.0,
+            leaderless_fraction=1.0,
         )
         backoffs = KnownBackoffs(
             lambda heard: self.links.hear_backoff(heard.instance.partition("/")[0], heard),
--- a/chestnutfall/tests/fakes/limit_office.py
+++ b/chestnutfall/tests/fakes/limit_office.py
@@ -1,4 +1,4 @@
-"""An office whose upstreams name limits, and calls that are sent by hand."""
+"""A simulated deployment whose upstreams declare limits; its calls skip the forwarder."""
 
 from __future__ import annotations
 
@@ -20,7 +20,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A call that found no place: its organisation, how long it waited, when to come back."""
+    """A call that found no place.
+
+    Attributes
+    ----------
+    waited_ms : int
+        Time from the request for a place to the refusal.
+    retry_after_ms : int
+        Time after which the caller is told to retry.
+    """
 
     organisation: str
     reason: str
@@ -29,24 +37,24 @@
 
 
 class LimitOffice(PlacingOffice):
-    """Calls through places alone.
+    """Gateways that take places and send to simulated upstreams.
 
     Attributes
     ----------
     refused : list of Refused
         Calls that found no place.
     served : Counter of str
-        Calls by organisation that found one.
-    fail_part : float
-        Part of all runs that break; their calls are sent once more.
+        Calls by organisation that found a place.
+    fail_fraction : float
+        Fraction of runs that break; their calls are sent once more.
     head_ms : int
-        From a send to the head of its answer, which names the limit.
+        Time from a send to the head of its answer, which declares the limit.
     """
 
     def __init__(self, gateways: int, engines: int = 3, plain: int = 3, seed: int = 1) -> None:
         self.refused: list[Refused] = []
         self.served: Counter[str] = Counter()
-        self.fail_part = 0.0
+        self.fail_fraction = 0.0
         self.head_ms = HEAD_MS
         super().__init__(gateways, engines, plain, seed)
 
@@ -57,7 +65,7 @@
             await self._send(replace(wanted, avoid=(failed_at,)), gateway)
 
     async def _send(self, wanted: Wanted, gateway: PlacingGateway) -> str:
-        """Send a call once; the upstream that failed it, if one did."""
+        """Send a call once; return the upstream that failed it, or an empty string."""
         began_ms = self.clock.now_ms()
         organisation = wanted.organisation
         places = gateway.places[wanted.service.name]
@@ -74,7 +82,7 @@
         upstream.running += 1
         await self.clock.sleep_ms(self.head_ms)
         load = UpstreamLoad(upstream.running, 0, PLACES)
-        fails = self.rng.random() < self.fail_part
+        fails = self.rng.random() < self.fail_fraction
         signals = upstream.signals(500 if fails else 200)
         gateway.signals.hear(place.upstream.instance, signals, sent_ms, succeeded=not fails)
         await self.clock.sleep_ms(RUN_MS)
--- a/chestnutfall/tests/fakes/limit_parts.py
+++ b/chestnutfall/tests/fakes/limit_parts.py
@@ -1,4 +1,4 @@
-"""A gateway's knowledge of what upstreams say, and a leader who gives turns, for tests."""
+"""Builders of a gateway's `KnownLimits` and `KnownSignals`, and a leader with scripted answers."""
 
 from __future__ import annotations
 
@@ -15,28 +15,40 @@
 
 
 def known_limits(
-    clock: Clock, told: list[HeardLimit] | None = None, gateways: int = 1, seed: int = 1
+    clock: Clock, reports: list[HeardLimit] | None = None, gateways: int = 1, seed: int = 1
 ) -> KnownLimits:
-    """What a gateway knows of limits; what it tells the leader is added to `told`."""
-    tell = told.append if told is not None else lambda heard: None
-    return KnownLimits(tell, lambda: gateways, clock, random.Random(seed))
+    """Build a gateway's known limits; reports to the leader are appended to `reports`."""
+    send_report = reports.append if reports is not None else lambda report: None
+    return KnownLimits(send_report, lambda: gateways, clock, random.Random(seed))
 
 
-def known_signals(clock: Clock, told: list[HeardBackoff] | None = None) -> KnownSignals:
-    """What a gateway knows of upstreams; what it tells of backoffs is added to `told`."""
-    tell = told.append if told is not None else lambda heard: None
-    return KnownSignals(known_limits(clock), KnownBackoffs(tell, clock), clock)
+def known_signals(clock: Clock, reports: list[HeardBackoff] | None = None) -> KnownSignals:
+    """Build a gateway's known signals; reports of backoffs are appended to `reports`."""
+    send_report = reports.append if reports is not None else lambda report: None
+    return KnownSignals(known_limits(clock), KnownBackoffs(send_report, clock), clock)
 
 
 class ScriptedTurns:
-    """A leader that gives the answers it is told to; there is none after the last one."""
+    """A leader that gives scripted answers in order, and is lost after the last one.
+
+    Attributes
+    ----------
+    waits_ms : list of int
+        The `wait_ms` of each question.
+    """
 
     def __init__(self, *answers: AnswerTurn) -> None:
         self._answers = list(answers)
         self.waits_ms: list[int] = []
 
     async def ask(self, wanted: Wanted, wait_ms: int) -> AnswerTurn:
-        """The next answer."""
+        """Return the next scripted answer.
+
+        Raises
+        ------
+        LeaderLost
+            After the last answer.
+        """
         self.waits_ms.append(wait_ms)
         if not self._answers:
             raise LeaderLost("scripted")
--- a/chestnutfall/tests/fakes/placement_case.py
+++ b/chestnutfall/tests/fakes/placement_case.py
@@ -5,7 +5,7 @@
 import unittest
 
 from ...clock import ManualClock
-from ...limits.limit_book import LimitBook
+from ...limits.limit_registry import LimitRegistry
 from ...limits.messages import HeardLimit
 from ...placement import (
     AdapterName,
@@ -42,7 +42,7 @@
 
     def setUp(self) -> None:
         self.clock = ManualClock(60_000)
-        self.book = LimitBook(self.clock)
+        self.book = LimitRegistry(self.clock)
         self.backoffs = BackoffBook(self.clock)
         self.placer = Placer(self.clock, self.book, self.backoffs)
         self.runs_on = False
@@ -56,7 +56,7 @@
         self.placer.engine_reported(name, EngineReport({"base": 1}, held, {}, 0))
 
     def _limit(self, name: str, per_s: float | None) -> None:
-        self.book.hear(HeardLimit(name, per_s, 0), counts_sends=True)
+        self.book.update(HeardLimit(name, per_s, 0), counts_sends=True)
         self.placer.limit_changed(name)
 
     def _back_off(self, name: str, gateway: str, left_ms: int | None) -> None:
--- a/chestnutfall/tests/fakes/placing_gateway.py
+++ b/chestnutfall/tests/fakes/placing_gateway.py
@@ -48,7 +48,7 @@
         limits = KnownLimits(self.fleet.tell, gateways, clock, rng)
         backoffs = KnownBackoffs(self.fleet.tell, clock)
         self.signals = KnownSignals(limits, backoffs, clock)
-        self.fleet.on_limits, self.fleet.on_hints = limits.take, backoffs.take_hints
+        self.fleet.on_limits, self.fleet.on_hints = limits.apply, backoffs.take_hints
         self.fleet.heard_again = self.signals.again
         self.places: dict[str, Places] = {
             ENGINES: EnginePlaces(self.fleet, self.signals, clock, name, "dc"),
--- a/chestnutfall/tests/fakes/placing_leader.py
+++ b/chestnutfall/tests/fakes/placing_leader.py
@@ -12,7 +12,7 @@
 from ...coordination.gateway_sessions import GatewaySessions
 from ...coordination.limit_desk import LimitDesk
 from ...coordination.messages import AnswerRepeat, AskRepeat, Release, Withdraw
-from ...limits.limit_book import LimitBook
+from ...limits.limit_registry import LimitRegistry
 from ...limits.messages import AskTurn, HeardLimit
 from ...placement import (
     EngineReport,
@@ -50,7 +50,7 @@
     ) -> None:
         self._upstreams = upstreams
         self._on_order = on_order
-        book, backoffs = LimitBook(clock), BackoffBook(clock)
+        book, backoffs = LimitRegistry(clock), BackoffBook(clock)
         self._sessions = GatewaySessions()
         self.placer = Placer(clock, book, backoffs)
         self._limits = LimitDesk(book, backoffs, self.placer, self._sessions, clock)
--- a/chestnutfall/tests/test_limit_desk.py
+++ b/chestnutfall/tests/test_limit_desk.py
@@ -1,4 +1,4 @@
-"""What the leader tells gateways of limits."""
+"""Limits that the leader sends to gateways."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ..coordination.gateway_session import GatewaySession
 from ..coordination.gateway_sessions import GatewaySessions
 from ..coordination.limit_desk import TELL_MS, LimitDesk
-from ..limits.limit_book import LimitBook
+from ..limits.limit_registry import LimitRegistry
 from ..limits.messages import HeardLimit, LimitsInForce, RequestLimit
 from ..placement.placer import Placer
 from ..signals.backoff_book import BackoffBook
@@ -18,15 +18,15 @@
 class LimitDeskTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = ManualClock(60_000)
-        book = LimitBook(self.clock)
+        limits = LimitRegistry(self.clock)
         self.sessions = GatewaySessions()
-        placer = Placer(self.clock, book)
+        placer = Placer(self.clock, limits)
         backoffs = BackoffBook(self.clock)
-        self.desk = LimitDesk(book, backoffs, placer, self.sessions, self.clock)
+        self.desk = LimitDesk(limits, backoffs, placer, self.sessions, self.clock)
         self.desk.use(
             [UpstreamRecord("i", "s", "1:1", "dc"), UpstreamRecord("j", "s", "1:2", "dc")]
         )
-        self.hearing, self.other = self._join("g1"), self._join("g2")
+        self.reporting, self.other = self._join("g1"), self._join("g2")
 
     def _join(self, name: str) -> GatewaySession:
         session = GatewaySession(name)
@@ -34,44 +34,44 @@
         self.desk.greet(session)
         return session
 
-    def _told(self, session: GatewaySession) -> list[object]:
+    def _received(self, session: GatewaySession) -> list[object]:
         return [session.out.get_nowait() for _ in range(session.out.qsize())]
 
-    def _hear(self, per_s: float | None, asked_ago_ms: int = 0, heard_ago_ms: int = 0) -> None:
-        self.desk.hear(self.hearing, HeardLimit("i", per_s, asked_ago_ms, heard_ago_ms))
+    def _report(self, per_s: float | None, asked_ago_ms: int = 0, heard_ago_ms: int = 0) -> None:
+        self.desk.hear(self.reporting, HeardLimit("i", per_s, asked_ago_ms, heard_ago_ms))
         self.desk.carry_out()
 
     def test_every_gateway_is_told_of_a_limit_and_of_its_end(self) -> None:
-        self._hear(3.0)
+        self._report(3.0)
         limit = LimitsInForce((RequestLimit("i", 3.0),))
-        self.assertEqual(self._told(self.other), [limit])
-        self.assertEqual(self._told(self._join("late")), [limit])
+        self.assertEqual(self._received(self.other), [limit])
+        self.assertEqual(self._received(self._join("late")), [limit])
         self.clock._now_ms += TELL_MS
-        self._hear(None)
-        self.assertEqual(self._told(self.other), [LimitsInForce((), ("i",))])
-        self.assertEqual(self._told(self._join("later")), [])
+        self._report(None)
+        self.assertEqual(self._received(self.other), [LimitsInForce((), ("i",))])
+        self.assertEqual(self._received(self._join("later")), [])
 
-    # Guards against a gateway that goes on by a limit whose end it missed.
+    # Guards against a gateway that keeps to a limit after missing the message that it ended.
     def test_a_gateway_that_tells_what_is_over_is_told_so(self) -> None:
-        self._hear(3.0)
-        self._hear(None)
+        self._report(3.0)
+        self._report(None)
         self.clock._now_ms += TELL_MS
         self.desk.carry_out()
-        self._told(self.hearing)
+        self._received(self.reporting)
         self.clock._now_ms += 5_000
-        self._hear(3.0, 5_200, 5_150)
-        self.assertIn(LimitsInForce((), ("i",)), self._told(self.hearing))
+        self._report(3.0, 5_200, 5_150)
+        self.assertIn(LimitsInForce((), ("i",)), self._received(self.reporting))
 
     def test_a_gateway_that_tells_an_old_figure_is_told_the_new_one(self) -> None:
         self.clock._now_ms += 5_000
-        self._hear(3.0)
-        self._told(self.hearing)
-        self._hear(7.0, 900, 800)
-        self.assertEqual(self._told(self.hearing), [LimitsInForce((RequestLimit("i", 3.0),))])
+        self._report(3.0)
+        self._received(self.reporting)
+        self._report(7.0, 900, 800)
+        self.assertEqual(self._received(self.reporting), [LimitsInForce((RequestLimit("i", 3.0),))])
 
-    # Guards against links that are filled by a limit which changes with each answer.
+    # Guards against a limit that changes with each answer and floods the links to gateways.
     def test_limits_that_change_all_the_time_are_told_ten_times_a_second(self) -> None:
         for at in range(1_000):
             self.clock._now_ms += 1
-            self._hear(1.0 + at % 7)
-        self.assertLessEqual(len(self._told(self.other)), 1_000 // TELL_MS + 1)
+            self._report(1.0 + at % 7)
+        self.assertLessEqual(len(self._received(self.other)), 1_000 // TELL_MS + 1)
--- a/chestnutfall/tests/test_limit_parts.py
+++ b/chestnutfall/tests/test_limit_parts.py
@@ -1,4 +1,4 @@
-"""How a limit is read, which of several answers holds, and when the next request may go."""
+"""Reading limits, choosing the newest of several answers, and timing the next request."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from hypothesis import strategies as st
 
 from ..clock import ManualClock, SlidingWindow
-from ..limits import Named, Unnamed, Unreadable, read_limit
-from ..limits.latest_word import LatestWord
-from ..limits.limit_book import MOST_ABSENT, LimitBook
-from ..limits.limit_word import MOST_TEXT
+from ..limits import DeclaredLimit, UndeclaredLimit, UnreadableLimit, read_limit
+from ..limits.latest_limit import LatestLimit
+from ..limits.limit_registry import MAX_ABSENT_UPSTREAMS, LimitRegistry
+from ..limits.limit_signal import MAX_UNREADABLE_CHARS
 from ..limits.messages import AskTurn, HeardLimit, LimitsInForce, RequestLimit
-from ..limits.plain_turns import NO_UPSTREAM_MS, PlainTurns
-from ..limits.upstream_limit import BURST_MS, LEAST_PER_S, RECENT_MS, UpstreamLimit
+from ..limits.plain_send_queues import NO_UPSTREAM_RETRY_MS, PlainSendQueues
+from ..limits.upstream_limit import BURST_MS, MIN_PER_S, RECENT_MS, UpstreamLimit
 from .fakes.limit_parts import known_limits
 
 PER_S = st.one_of(st.none(), st.floats(0, 40))
@@ -24,42 +24,42 @@
     def test_decimal_numbers_are_limits(self) -> None:
         for text, per_s in (("7.1", 7.1), ("0", 0.0), ("3", 3.0), ("1e2", 100.0), (" 2.5 ", 2.5)):
             with self.subTest(text):
-                self.assertEqual(read_limit(text), Named(per_s))
+                self.assertEqual(read_limit(text), DeclaredLimit(per_s))
 
     def test_anything_else_is_unreadable_and_its_absence_is_no_limit(self) -> None:
         for text in ("", "many", "-1", "nan", "inf", "-inf", "1,5", "1e999"):
             with self.subTest(text):
-                self.assertEqual(read_limit(text), Unreadable(text))
-        self.assertEqual(read_limit(None), Unnamed())
+                self.assertEqual(read_limit(text), UnreadableLimit(text))
+        self.assertEqual(read_limit(None), UndeclaredLimit())
 
-    # Guards against logs that an upstream fills with what it sends.
+    # Guards against an upstream that fills the logs with long header values.
     def test_long_texts_are_cut(self) -> None:
-        self.assertEqual(read_limit("x" * 8_000), Unreadable("x" * MOST_TEXT))
+        self.assertEqual(read_limit("x" * 8_000), UnreadableLimit("x" * MAX_UNREADABLE_CHARS))
 
 
-class LatestWordTest(unittest.TestCase):
+class LatestLimitTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.word = LatestWord()
+        self.latest = LatestLimit()
 
-    # Guards against an answer made just before a limit that comes late and ends it.
+    # Guards against a delayed answer, produced before the limit was declared, that removes it.
     def test_of_answers_that_crossed_the_lower_limit_holds(self) -> None:
-        self.assertTrue(self.word.take(7.0, 100, 120))
-        self.assertFalse(self.word.take(None, 90, 130))
-        self.assertFalse(self.word.take(9.0, 110, 131))
-        self.assertTrue(self.word.take(3.0, 110, 132))
-        self.assertEqual(self.word.per_s, 3.0)
+        self.assertTrue(self.latest.update(7.0, 100, 120))
+        self.assertFalse(self.latest.update(None, 90, 130))
+        self.assertFalse(self.latest.update(9.0, 110, 131))
+        self.assertTrue(self.latest.update(3.0, 110, 132))
+        self.assertEqual(self.latest.per_s, 3.0)
 
     def test_a_later_request_s_answer_raises_and_ends_a_limit(self) -> None:
-        self.word.take(7.0, 100, 120)
-        self.assertTrue(self.word.take(9.0, 121, 140))
-        self.assertTrue(self.word.take(None, 141, 160))
-        self.assertIsNone(self.word.per_s)
+        self.latest.update(7.0, 100, 120)
+        self.assertTrue(self.latest.update(9.0, 121, 140))
+        self.assertTrue(self.latest.update(None, 141, 160))
+        self.assertIsNone(self.latest.per_s)
 
-    # Guards against a gateway that comes back and tells a new leader of a limit that is over.
+    # Guards against a gateway that reconnects and reports an ended limit to a new leader.
     def test_what_was_heard_before_the_newest_request_was_sent_says_nothing(self) -> None:
-        self.word.take(None, 200, 220)
-        self.assertFalse(self.word.take(3.0, 150, 190))
-        self.assertIsNone(self.word.per_s)
+        self.latest.update(None, 200, 220)
+        self.assertFalse(self.latest.update(3.0, 150, 190))
+        self.assertIsNone(self.latest.per_s)
 
 
 class UpstreamLimitTest(unittest.TestCase):
@@ -68,15 +68,15 @@
         self, steps: list[tuple[int, float, bool]]
     ) -> None:
         limit, now_ms, sent, allowed, most = UpstreamLimit(), 0, 0, 0.0, 0.0
-        limit.take_word(10.0, 0, 0, 0)
-        for wait_ms, per_s, renamed in steps:
+        limit.update(10.0, 0, 0, 0)
+        for wait_ms, per_s, changes in steps:
             allowed += (limit.per_s or 0.0) * wait_ms / 1000
             now_ms += wait_ms
             while not limit.wait_ms(0, now_ms):
                 limit.note_sent(now_ms)
                 sent += 1
-            if renamed:
-                limit.take_word(per_s, now_ms, now_ms, now_ms)
+            if changes:
+                limit.update(per_s, now_ms, now_ms, now_ms)
             most = max(most, limit.per_s or 0.0)
             self.assertLessEqual(sent, allowed + 1 + most * BURST_MS / 1000)
 
@@ -87,26 +87,26 @@
         limit = UpstreamLimit()
         for _ in range(sent):
             limit.note_sent(1_000)
-        limit.take_word(per_s, 1_000, 1_000, 1_000)
+        limit.update(per_s, 1_000, 1_000, 1_000)
         self.assertGreater(limit.wait_ms(0, 1_000), 0)
         self.assertLessEqual(limit.wait_ms(0, 1_000), RECENT_MS + 1_000 / per_s + 1)
 
     def test_a_lower_limit_holds_back_for_what_the_higher_one_let_through(self) -> None:
         limit = UpstreamLimit()
-        limit.take_word(30.0, 0, 0, 0)
+        limit.update(30.0, 0, 0, 0)
         for now_ms in range(10_000, 11_000, 50):
             limit.note_sent(now_ms)
         self.assertEqual(limit.wait_ms(0, 11_000), 0)
-        limit.take_word(10.0, 11_000, 11_000, 11_000)
+        limit.update(10.0, 11_000, 11_000, 11_000)
         self.assertGreater(limit.wait_ms(0, 11_000), RECENT_MS)
 
     def test_what_takes_nothing_is_asked_now_and_then(self) -> None:
         limit = UpstreamLimit()
-        limit.take_word(0.0, 0, 0, 0)
-        self.assertEqual(limit.named_per_s, 0.0)
-        self.assertLessEqual(limit.wait_ms(0, 0), 2_000 / LEAST_PER_S)
+        limit.update(0.0, 0, 0, 0)
+        self.assertEqual(limit.declared_per_s, 0.0)
+        self.assertLessEqual(limit.wait_ms(0, 0), 2_000 / MIN_PER_S)
 
-    # Guards against a leader whose memory grows with every send to upstreams that name no limit.
+    # Guards against a leader whose memory grows with every send to upstreams without a limit.
     def test_sends_of_long_ago_are_forgotten_also_while_there_is_no_limit(self) -> None:
         window = SlidingWindow(RECENT_MS)
         for now_ms in range(0, 100_000, 10):
@@ -117,43 +117,45 @@
     def test_without_a_limit_nobody_waits(self) -> None:
         limit = UpstreamLimit()
         self.assertEqual(limit.wait_ms(1_000, 0), 0)
-        limit.take_word(3.0, 0, 0, 0)
-        limit.take_word(None, 1, 1, 1)
+        limit.update(3.0, 0, 0, 0)
+        limit.update(None, 1, 1, 1)
         self.assertEqual(limit.wait_ms(1_000, 1), 0)
 
 
-class LimitBookTest(unittest.TestCase):
+class LimitRegistryTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = LimitBook(ManualClock())
+        self.registry = LimitRegistry(ManualClock())
 
-    # Guards against a controller that keeps each upstream that ever named a limit.
+    # Guards against a controller that keeps every upstream that ever declared a limit.
     def test_upstreams_that_are_gone_are_forgotten_but_for_the_last(self) -> None:
-        for at in range(2 * MOST_ABSENT):
-            self.book.hear(HeardLimit(f"i{at}", 3.0, 0), counts_sends=True)
-            self.book.of(f"free{at}")
-        self.book.forget_absent({"i0", "free0"})
-        self.assertEqual(len(self.book.in_force()), MOST_ABSENT + 1)
-        self.assertEqual(self.book.named_per_s("i0"), 3.0)
-        self.assertIsNone(self.book.named_per_s("i5"))
+        for at in range(2 * MAX_ABSENT_UPSTREAMS):
+            self.registry.update(HeardLimit(f"i{at}", 3.0, 0), counts_sends=True)
+            self.registry.get_or_create(f"free{at}")
+        self.registry.forget_absent({"i0", "free0"})
+        self.assertEqual(len(self.registry.in_force()), MAX_ABSENT_UPSTREAMS + 1)
+        self.assertEqual(self.registry.declared_per_s("i0"), 3.0)
+        self.assertIsNone(self.registry.declared_per_s("i5"))
 
 
-class PlainTurnsTest(unittest.TestCase):
+class PlainSendQueuesTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = ManualClock(60_000)
-        self.book = LimitBook(self.clock)
+        self.registry = LimitRegistry(self.clock)
         self.serving = ["p0", "p1"]
-        self.turns: PlainTurns[str] = PlainTurns(
-            self.book, lambda service: self.serving, lambda gateway, one: True, self.clock
+        self.queues: PlainSendQueues[str] = PlainSendQueues(
+            self.registry, lambda service: self.serving, lambda gateway, one: True, self.clock
         )
         for instance in self.serving:
-            self.book.hear(HeardLimit(instance, 5.0, 0), counts_sends=False)
+            self.registry.update(HeardLimit(instance, 5.0, 0), counts_sends=False)
         self.clock._now_ms += 3_000
 
-    def _ask(self, number: int, wait_ms: int = 500, rank: int = 1, who: str = "") -> None:
-        self.turns.ask(AskTurn(number, "s", ("p1",), who, rank, wait_ms), f"g{number}")
+    def _ask(self, number: int, wait_ms: int = 500, rank: int = 1, organisation: str = "") -> None:
+        self.queues.enqueue(
+            AskTurn(number, "s", ("p1",), organisation, rank, wait_ms), f"g{number}"
+        )
 
     def _due(self) -> dict[int, str]:
-        return {turn.answer.number: turn.answer.instance for turn in self.turns.due()}
+        return {turn.answer.number: turn.answer.instance for turn in self.queues.due()}
 
     def test_one_that_failed_the_call_is_the_last_choice(self) -> None:
         self._ask(1)
@@ -168,34 +170,34 @@
         self._ask(99, rank=0)
         self.assertTrue(self._due()[99])
 
-    # Guards against a call that waits although another upstream would take it at once.
+    # Guards against a call that waits although another upstream would accept it at once.
     def test_a_call_that_can_not_wait_is_answered_at_once(self) -> None:
         for number in range(40):
             self._ask(number, wait_ms=0)
-        answers = list(self.turns.due())
+        answers = list(self.queues.due())
         self.assertEqual(len(answers), 40)
-        self.assertEqual(self.turns.waiting, 0)
+        self.assertEqual(self.queues.waiting, 0)
         refused = [one.answer for one in answers if not one.answer.instance]
         self.assertLessEqual(max(one.retry_after_ms for one in refused), 200)
 
     def test_a_gateway_that_is_gone_takes_no_turn(self) -> None:
         for number in range(10):
             self._ask(number)
-        self.turns.forget("g0")
+        self.queues.drop_gateway("g0")
         self.assertNotIn(0, self._due())
 
     def test_where_nothing_serves_the_call_is_refused(self) -> None:
         self.serving.clear()
         self._ask(1, wait_ms=0)
         self._ask(2, wait_ms=10)
-        answers = [turn.answer for turn in self.turns.due()]
+        answers = [turn.answer for turn in self.queues.due()]
         self.assertEqual([one.instance for one in answers], ["", ""])
-        self.assertEqual(answers[0].retry_after_ms, NO_UPSTREAM_MS)
+        self.assertEqual(answers[0].retry_after_ms, NO_UPSTREAM_RETRY_MS)
 
-    # Guards against calls refused for a limit that ended between the gateway's word and its call.
+    # Guards against refusing a call for a limit that ended after the gateway asked for a send.
     def test_a_limit_that_has_just_ended_holds_nobody_up(self) -> None:
         for instance in self.serving:
-            self.book.hear(HeardLimit(instance, None, 0), counts_sends=False)
+            self.registry.update(HeardLimit(instance, None, 0), counts_sends=False)
         self._ask(1)
         self.assertEqual(self._due(), {1: "p0"})
 
@@ -203,39 +205,40 @@
 class KnownLimitsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = ManualClock(60_000)
-        self.told: list[HeardLimit] = []
-        self.limits = known_limits(self.clock, self.told)
-
-    def test_the_leader_is_told_each_word_and_nothing_of_upstreams_without_limits(self) -> None:
-        self.limits.hear("i", Unnamed(), 59_900, succeeded=True)
-        self.limits.hear("i", Named(3.0), 59_990, succeeded=True)
-        self.limits.hear("i", Unnamed(), 60_000, succeeded=True)
-        self.assertEqual(self.told, [HeardLimit("i", 3.0, 10), HeardLimit("i", None, 0)])
+        self.reports: list[HeardLimit] = []
+        self.limits = known_limits(self.clock, self.reports)
+
+    def test_each_limit_is_reported_and_nothing_of_upstreams_without_limits(self) -> None:
+        self.limits.observe("i", UndeclaredLimit(), 59_900, succeeded=True)
+        self.limits.observe("i", DeclaredLimit(3.0), 59_990, succeeded=True)
+        self.limits.observe("i", UndeclaredLimit(), 60_000, succeeded=True)
+        self.assertEqual(self.reports, [HeardLimit("i", 3.0, 10), HeardLimit("i", None, 0)])
         self.assertIsNone(self.limits.per_s("i"))
 
-    # Guards against a failure from beside an upstream's own work that ends its limit.
+    # Guards against a failure that a part of the upstream without knowledge of its limit produces,
+    # and that removes the limit.
     def test_a_failure_without_a_limit_ends_none(self) -> None:
-        self.limits.hear("i", Named(3.0), 59_990, succeeded=True)
-        self.limits.hear("i", Unnamed(), 60_000, succeeded=False)
+        self.limits.observe("i", DeclaredLimit(3.0), 59_990, succeeded=True)
+        self.limits.observe("i", UndeclaredLimit(), 60_000, succeeded=False)
         self.assertEqual(self.limits.per_s("i"), 3.0)
 
     def test_what_is_unreadable_is_logged_once(self) -> None:
         with self.assertLogs("chestnutfall.limits.known_limits") as logs:
             for _ in range(5):
-                self.limits.hear("i", Unreadable("many"), 60_000, succeeded=True)
+                self.limits.observe("i", UnreadableLimit("many"), 60_000, succeeded=True)
         self.assertEqual(len(logs.output), 1)
 
     def test_what_the_leader_tells_holds(self) -> None:
-        self.limits.take(LimitsInForce((RequestLimit("i", 3.0), RequestLimit("j", 0.5))))
+        self.limits.apply(LimitsInForce((RequestLimit("i", 3.0), RequestLimit("j", 0.5))))
         self.assertEqual((self.limits.per_s("i"), self.limits.per_s("j")), (3.0, 0.5))
-        self.limits.take(LimitsInForce((), ("i",)))
+        self.limits.apply(LimitsInForce((), ("i",)))
         self.assertIsNone(self.limits.per_s("i"))
-        self.assertEqual([one.instance for one in self.limits.again()], ["j"])
+        self.assertEqual([one.instance for one in self.limits.reports_for_new_leader()], ["j"])
 
-    # Guards against a gateway that keeps each upstream that ever named a limit.
+    # Guards against a gateway that keeps every upstream that ever declared a limit.
     def test_memory_is_bounded(self) -> None:
         for at in range(6_000):
-            self.limits.hear(f"i{at}", Named(3.0), 60_000, succeeded=True)
-            self.limits.hear(f"i{at}", Unreadable(f"{at}"), 60_000, succeeded=True)
+            self.limits.observe(f"i{at}", DeclaredLimit(3.0), 60_000, succeeded=True)
+            self.limits.observe(f"i{at}", UnreadableLimit(f"{at}"), 60_000, succeeded=True)
         self.assertLessEqual(len(self.limits), 4_096)
         self.assertEqual(self.limits.per_s("i5999"), 3.0)
--- a/chestnutfall/tests/test_limited_completions.py
+++ b/chestnutfall/tests/test_limited_completions.py
@@ -1,4 +1,4 @@
-"""Limits that upstreams name, on the product's own interface, through gateways of one office."""
+"""Limits that engines declare for completions, on the native interface, with several gateways."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from .fakes.completion_case import CompletionCase
 
 LIMIT_PER_S = 8.0
-LEAST_PART = 0.8
-"""Of what a limit allows, while callers ask for far more."""
+MIN_USED = 0.8
+"""Fraction of a limit that is used while callers ask for far more."""
 
 
 class LimitedCompletionTest(CompletionCase):
@@ -16,8 +16,8 @@
         await super().asyncSetUp()
         self.history = LimitHistory()
 
-    def _name(self, number: int, per_s: float = LIMIT_PER_S) -> int:
-        """Let an engine name a limit; the present time."""
+    def _declare(self, number: int, per_s: float = LIMIT_PER_S) -> int:
+        """Let an engine declare a limit; return the clock time."""
         self.office.engine(number).limit = f"{per_s}"
         self.history.name(self.office.clock.now_ms(), per_s)
         return self.office.clock.now_ms()
@@ -26,54 +26,54 @@
         arrivals = self.office.engine(number).arrivals
         self.assertEqual(list(self.history.excesses(arrivals)), [])
 
-    # Guards against engines that name a limit and get as many completions as before.
+    # Guards against engines that declare a limit and receive as many completions as before.
     async def test_one_of_two_engines_gets_what_it_says_it_takes(self) -> None:
         await self.office.start(gateways=3, engines=2)
         await self._load(1_000)
         limited = 0 if self.office.engine(0).arrivals else 1
-        self._name(limited)
+        self._declare(limited)
         await self._load(10_000)
         self._check(limited)
         self.assertEqual(self.refusals, [])
 
-    # Guards against callers who wait in vain when every engine is limited.
+    # Guards against callers that wait and are then refused when every engine is limited.
     async def test_where_all_are_limited_they_are_used_and_the_rest_is_told_at_once(self) -> None:
         await self.office.start(gateways=3, engines=1)
         await self._load(1_000)
-        named_ms = self._name(0)
+        declared_ms = self._declare(0)
         await self._load(14_000)
         self._check(0)
-        used = sum(at_ms >= named_ms + SETTLE_MS for at_ms in self.office.engine().arrivals)
-        self.assertGreaterEqual(used, LEAST_PART * LIMIT_PER_S * 11)
+        used = sum(at_ms >= declared_ms + SETTLE_MS for at_ms in self.office.engine().arrivals)
+        self.assertGreaterEqual(used, MIN_USED * LIMIT_PER_S * 11)
         self.assertEqual({one.executed for one in self.refusals}, {Executed.NO})
         self.assertEqual({one.code for one in self.refusals}, {"limited"})
         self.assertGreater(min(one.retry_after_ms or 0 for one in self.refusals), 0)
 
-    # Guards against an owner that forgets the limit with its engine's change of hands.
+    # Guards against losing an engine's limit when another gateway becomes its owner.
     async def test_the_next_owner_knows_the_limit(self) -> None:
         await self.office.start(gateways=3, engines=1)
-        named_ms = self._name(0, 2.0)
+        declared_ms = self._declare(0, 2.0)
         await self._load(4_000)
         self.office.engine().head_ms = 1_500
         await self.office.owner().kill()
         await self._load(16_000)
         self._check(0)
-        late = sum(at_ms > named_ms + 14_000 for at_ms in self.office.engine().arrivals)
+        late = sum(at_ms > declared_ms + 14_000 for at_ms in self.office.engine().arrivals)
         self.assertGreater(late, 0)
 
-    # Guards against resumed runs that come on top of a limit.
+    # Guards against resumed runs that are sent in addition to a limit.
     async def test_a_resumed_run_counts_as_a_request(self) -> None:
         await self.office.start(gateways=2, engines=1)
         await self._load(1_000)
         self.office.engine().faults["mid_reset"] = 1_000
-        self._name(0)
+        self._declare(0)
         await self._load(9_000)
         self._check(0)
 
-    # Guards against a limit that stays after the engine stopped naming it.
+    # Guards against a limit that stays after the engine stops declaring it.
     async def test_a_limit_that_ended_holds_nobody_back(self) -> None:
         await self.office.start(gateways=2, engines=1)
-        self._name(0)
+        self._declare(0)
         await self._load(4_000)
         self.office.engine().limit = None
         await self._load(3_000)
--- a/chestnutfall/tests/test_named_limits.py
+++ b/chestnutfall/tests/test_named_limits.py
@@ -1,4 +1,4 @@
-"""Upstreams that say how many requests a second they take, before the real programs."""
+"""Upstreams that declare limits, with the programs run as processes."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 CLIENTS = 12
 LIMIT_PER_S = 12.0
-PLAYED_S = 9.0
-LEAST_PART = 0.5
-"""Of what a limit allows, while callers ask for far more; the rest is what a slow machine costs."""
+LOAD_S = 9.0
+MIN_USED = 0.5
+"""Fraction of a limit that is used while callers ask for far more; a slow machine uses less."""
 
 
 class NamedLimitTest(unittest.TestCase):
-    # Guards against upstreams that name a limit and get as many requests as before.
+    # Guards against upstreams that declare a limit and receive as many requests as before.
     def test_upstreams_get_what_they_say_they_take(self) -> None:
         self.play = OfficePlay(seed=4, callers=CLIENTS)
         asyncio.run(self.play.run(self._script))
@@ -31,11 +31,11 @@
             upstream.limit = f"{LIMIT_PER_S}"
         self.history = LimitHistory()
         self.history.name(time.monotonic() * 1000, LIMIT_PER_S)
-        await asyncio.sleep(PLAYED_S)
+        await asyncio.sleep(LOAD_S)
 
     def _check(self, upstream: StandInUpstream) -> None:
         arrivals = self.play.office.book.arrivals[upstream.instance]
         moments = [at_s * 1000 for at_s in arrivals]
         self.assertEqual(list(self.history.excesses(moments)), [])
         used = sum(at_ms >= self.history.began_ms + SETTLE_MS for at_ms in moments)
-        self.assertGreaterEqual(used, LEAST_PART * LIMIT_PER_S * (PLAYED_S - SETTLE_MS / 1000))
+        self.assertGreaterEqual(used, MIN_USED * LIMIT_PER_S * (LOAD_S - SETTLE_MS / 1000))
--- a/chestnutfall/tests/test_platform.py
+++ b/chestnutfall/tests/test_platform.py
@@ -19,7 +19,7 @@
 from ..forwarding.forwarded_call import ForwardedCall
 from ..forwarding.upstream_answer import NotRun
 from ..forwarding.upstream_api import AnswerLost, NotSent
-from ..limits import Named
+from ..limits import DeclaredLimit
 from ..placement import AdapterName, PromptPart
 from ..platform import header_names as names
 from ..platform.call_reader import read_call
@@ -155,7 +155,7 @@
         self.headers = {"Retry-After": "1.5", "Server-Leaving": "1", "Server-Limit": "4"}
         async with self.api.send(self._forwarded()) as answer:
             signals = answer.signals
-        said = UpstreamSignals(Named(4.0), AskedBackoff(1_500), True, UpstreamLoad(2, 1, 6))
+        said = UpstreamSignals(DeclaredLimit(4.0), AskedBackoff(1_500), True, UpstreamLoad(2, 1, 6))
         self.assertEqual(signals, said)
 
     # Guards against a new word of upstreams that nobody notices.
--- a/chestnutfall/tests/test_signals.py
+++ b/chestnutfall/tests/test_signals.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ..limits import Named, Unnamed
+from ..limits import DeclaredLimit, UndeclaredLimit
 from ..signals import (
     NO_SIGNALS,
     AskedBackoff,
@@ -78,7 +78,7 @@
     def test_all_that_an_answer_says(self) -> None:
         headers = {"x-limit": "7.5", "Retry-After": "2", "x-leaving": "1", "x-load": "3,1,8"}
         found = read_signals(503, headers, NAMES)
-        self.assertEqual(found.limit, Named(7.5))
+        self.assertEqual(found.limit, DeclaredLimit(7.5))
         self.assertEqual(found.backoff, AskedBackoff(2_000))
         self.assertTrue(found.leaving)
         self.assertEqual(found.load, UpstreamLoad(3, 1, 8))
@@ -96,7 +96,7 @@
         for text in ("", "1,2", "1,2,3,4", "a,b,c", "-1,0,6", "1, 2, 3", "9" * 400 + ",1,1"):
             with self.subTest(text[:10]):
                 found = read_signals(200, {"x-load": text}, NAMES)
-                self.assertEqual((found.load, found.limit), (None, Unnamed()))
+                self.assertEqual((found.load, found.limit), (None, UndeclaredLimit()))
 
 
 class UnreadHeadersTest(unittest.TestCase):
--- a/properties/safeguards/limit_mutants.py
+++ b/properties/safeguards/limit_mutants.py
@@ -1,4 +1,4 @@
-"""Safeguards of the limits that upstreams name."""
+"""Mutants of the safeguards for limits that upstreams declare."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 LIMIT_MUTANTS = (
     Mutant(
         "the answer that came last holds",
-        "chestnutfall/limits/latest_word.py",
-        "        crossed = asked_ms < self.heard_ms",
-        "        crossed = False",
+        "chestnutfall/limits/latest_limit.py",
+        "        overlaps = sent_ms < self.received_ms",
+        "        overlaps = False",
         _PARTS,
     ),
     Mutant(
         "what was heard long ago is taken for new",
-        "chestnutfall/limits/latest_word.py",
-        "        if self.asked_ms > heard_ms:",
+        "chestnutfall/limits/latest_limit.py",
+        "        if self.sent_ms > received_ms:",
         "        if False:",
         _PARTS,
     ),
@@ -40,8 +40,8 @@
     Mutant(
         "an upstream that takes nothing is never asked again",
         "chestnutfall/limits/upstream_limit.py",
-        "LEAST_PER_S = 0.2",
-        "LEAST_PER_S = 1e-9",
+        "MIN_PER_S = 0.2",
+        "MIN_PER_S = 1e-9",
         f"{_TOGETHER}.test_an_upstream_that_took_nothing_is_found_when_it_takes_work_again",
     ),
     Mutant(
@@ -61,22 +61,23 @@
     Mutant(
         "a new leader is not told of limits",
         "chestnutfall/limits/known_limits.py",
-        "        return tuple(_as_heard(name, word, now_ms) for name, word in self._words.items())",
+        "        return tuple("
+        "_as_report(name, latest, now_ms) for name, latest in self._latest.items())",
         "        return ()",
         f"{_TOGETHER}.test_leaders_that_change_while_answers_are_slow",
     ),
     Mutant(
         "gateways without a leader send as they like",
         "chestnutfall/limits/known_limits.py",
-        "        return per_s is None or self._lone.take(instance, per_s)",
+        "        return per_s is None or self._leaderless.try_send(instance, per_s)",
         "        return True",
         f"{_TOGETHER}.test_gateways_without_a_leader_keep_a_limit_together",
     ),
     Mutant(
         "each gateway without a leader has the whole limit",
-        "chestnutfall/limits/lone_sends.py",
-        "self._part * max(per_s, LEAST_PER_S) / max(self._gateways(), 1)",
-        "max(per_s, LEAST_PER_S)",
+        "chestnutfall/limits/leaderless_limits.py",
+        "self._fraction * max(per_s, MIN_PER_S) / max(self._gateways(), 1)",
+        "max(per_s, MIN_PER_S)",
         f"{_TOGETHER}.test_gateways_that_are_cut_off_keep_a_limit_with_the_others",
     ),
     Mutant(
@@ -102,7 +103,7 @@
     ),
     Mutant(
         "turns go by arrival, whosever calls they are",
-        "chestnutfall/limits/plain_turns.py",
+        "chestnutfall/limits/plain_send_queues.py",
         "        return self.asked.rank, self.tag, self.since_ms",
         "        return self.asked.rank, 0.0, self.since_ms",
         f"{_TOGETHER}.test_organisations_share_what_limited_upstreams_allow",
@@ -145,7 +146,7 @@
     Mutant(
         "plain services are called by turns whatever they take",
         "chestnutfall/plain_edge/plain_proxy.py",
-        "            if self._signals.limits.may_send_alone(up.instance):",
+        "            if self._signals.limits.may_send_without_leader(up.instance):",
         "            if True:",
         "chestnutfall.tests.test_plain_proxy",
     ),
--- a/properties/safeguards/signal_mutants.py
+++ b/properties/safeguards/signal_mutants.py
@@ -55,9 +55,9 @@
     ),
     Mutant(
         "turns are given at upstreams that want nothing from that gateway",
-        "chestnutfall/limits/plain_turns.py",
-        "wants = [one for one in free if self._may_send(waiting.gateway, one)]",
-        "wants = list(free)",
+        "chestnutfall/limits/plain_send_queues.py",
+        "allowed = [one for one in free if self._may_send(waiting.gateway, one)]",
+        "allowed = list(free)",
         f"{_TOGETHER}.test_turns_at_limited_upstreams_skip_who_was_asked_for_time",
     ),
     Mutant(
@@ -143,8 +143,8 @@
     Mutant(
         "a new leader is not told what was heard before it",
         "chestnutfall/signals/known_signals.py",
-        "        return (*self.limits.again(), *self.backoffs.again())",
-        "        return self.limits.again()",
+        "        return (*self.limits.reports_for_new_leader(), *self.backoffs.again())",
+        "        return self.limits.reports_for_new_leader()",
         f"{_LEAVING}.test_the_word_is_told_to_each_leader",
     ),
     Mutant(
