--- a/benchmarks/backoffs.py
+++ b/benchmarks/backoffs.py
@@ -24,8 +24,8 @@
 from chestnutfall.settings.repeat_bounds import RepeatBounds
 from chestnutfall.signals.known_backoffs import KnownBackoffs
 from chestnutfall.signals.upstream_backoff import UpstreamBackoff
-from chestnutfall.tests.fakes.named_upstream import ENGINES, PLAIN
 from chestnutfall.tests.fakes.signal_office import SignalOffice
+from chestnutfall.tests.fakes.signalling_upstream import ENGINES, PLAIN
 
 RATES = {ENGINES: 150.0, PLAIN: 50.0}
 REPEATS = RepeatBounds(0.2, 58, 10_000)
@@ -44,8 +44,8 @@
 @contextmanager
 def _told() -> Iterator[None]:
     with (
-        mock.patch.object(UpstreamBackoff, "is_doubtful", lambda *args: False),
-        mock.patch.object(KnownBackoffs, "is_doubtful", lambda *args: False),
+        mock.patch.object(UpstreamBackoff, "probably_rejects", lambda *args: False),
+        mock.patch.object(KnownBackoffs, "probably_rejects", lambda *args: False),
     ):
         yield
 
@@ -80,9 +80,9 @@
             office.upstreams[instance].backoff = None
         await office.play(AFTER_MS, RATES)
         await office.stop()
-    calls = [one for one in office.ended if one.sent_ms >= from_ms]
+    calls = [one for one in office.finished if one.sent_ms >= from_ms]
     served = sum(one.status == 200 for one in calls) / len(calls)
-    away = sum(len(one.asked) for one in office.upstreams.values()) / len(calls)
+    away = sum(len(one.backoff_requests) for one in office.upstreams.values()) / len(calls)
     text = office.metrics.text()
     held, over = (_count(text, name) for name in ("sends_held_back", "repeats_over_budget"))
     words_per_s = 1000 * words / ASKED_MS
--- a/chestnutfall/coordination/backoff_desk.py
+++ b/chestnutfall/coordination/backoff_desk.py
@@ -7,7 +7,7 @@
 from ..clock import Clock
 from ..control.upstream_record import UpstreamRecord
 from ..placement.placer import Placer
-from ..signals.backoff_book import BackoffBook
+from ..signals.backoff_registry import BackoffRegistry
 from ..signals.messages import BackoffHints, HeardBackoff
 from .gateway_session import GatewaySession
 from .gateway_sessions import GatewaySessions
@@ -25,7 +25,7 @@
     """
 
     def __init__(
-        self, book: BackoffBook, placer: Placer, sessions: GatewaySessions, clock: Clock
+        self, book: BackoffRegistry, placer: Placer, sessions: GatewaySessions, clock: Clock
     ) -> None:
         self._book = book
         self._placer = placer
@@ -40,7 +40,7 @@
 
     def hear(self, session: GatewaySession, heard: HeardBackoff) -> None:
         """Take in what a gateway was asked."""
-        is_news = self._book.hear(session.gateway, heard)
+        is_news = self._book.update(session.gateway, heard)
         if is_news and heard.instance not in self._placer.engines:
             self._news[heard.instance] = heard
 
@@ -50,7 +50,9 @@
 
     def greet(self, session: GatewaySession) -> None:
         """Tell a gateway that has just come."""
-        found = (one for one in self._book.doubtful() if one.instance not in self._placer.engines)
+        found = (
+            one for one in self._book.active_hints() if one.instance not in self._placer.engines
+        )
         hints = tuple(found)[-MOST_TOLD:]
         if hints:
             session.send(BackoffHints(hints))
--- a/chestnutfall/coordination/leader_term.py
+++ b/chestnutfall/coordination/leader_term.py
@@ -24,7 +24,7 @@
 from ..routes import DocumentCodec, RouteTable
 from ..settings.quota_bounds import QuotaBounds
 from ..settings.repeat_bounds import RepeatBounds
-from ..signals.backoff_book import BackoffBook
+from ..signals.backoff_registry import BackoffRegistry
 from ..signals.messages import HeardBackoff
 from .backoff_desk import BackoffDesk
 from .document_box import unpack
@@ -73,7 +73,7 @@
         self._state = state
         self._codec = codec
         self._clock = clock
-        limits, backoffs = LimitRegistry(clock), BackoffBook(clock)
+        limits, backoffs = LimitRegistry(clock), BackoffRegistry(clock)
         self._placer = Placer(clock, limits, backoffs)
         self._repeats = RepeatPool(repeats, clock)
         self._quotas = QuotaLedger(quotas, clock)
--- a/chestnutfall/coordination/limit_desk.py
+++ b/chestnutfall/coordination/limit_desk.py
@@ -10,7 +10,7 @@
 from ..limits.messages import AskTurn, HeardLimit, LimitsInForce, RequestLimit
 from ..limits.plain_send_queues import PlainSendQueues
 from ..placement.placer import Placer
-from ..signals.backoff_book import BackoffBook
+from ..signals.backoff_registry import BackoffRegistry
 from .gateway_session import GatewaySession
 from .gateway_sessions import GatewaySessions
 
@@ -27,7 +27,7 @@
     def __init__(
         self,
         book: LimitRegistry,
-        backoffs: BackoffBook,
+        backoffs: BackoffRegistry,
         placer: Placer,
         sessions: GatewaySessions,
         clock: Clock,
--- a/chestnutfall/forwarding/after_send.py
+++ b/chestnutfall/forwarding/after_send.py
@@ -84,7 +84,7 @@
         return True
 
     async def _back_off(self, progress: Progress, reply: CallerReply, held_back_ms: float) -> None:
-        retry_ms = self._signals.return_ms(progress.service, held_back_ms)
+        retry_ms = self._signals.caller_retry_ms(progress.service, held_back_ms)
         await self._answers.give_up(progress, reply, 503, BACKING_OFF, retry_ms)
 
     async def _after_refusal(
--- a/chestnutfall/forwarding/engine_places.py
+++ b/chestnutfall/forwarding/engine_places.py
@@ -73,7 +73,7 @@
     def _refuse_if_held_back(self, service: str) -> None:
         held_back_ms = self.held_back_ms(service)
         if held_back_ms:
-            raise NoPlace(BACKING_OFF, self._signals.return_ms(service, held_back_ms))
+            raise NoPlace(BACKING_OFF, self._signals.caller_retry_ms(service, held_back_ms))
 
     def held_back_ms(self, service: str) -> float:
         upstreams = self._fleet.knowledge.upstreams(service)
--- a/chestnutfall/forwarding/plain_places.py
+++ b/chestnutfall/forwarding/plain_places.py
@@ -91,7 +91,7 @@
         if wanting:
             return wanting
         held_back_ms = self.held_back_ms(service)
-        raise NoPlace(BACKING_OFF, self._signals.return_ms(service, held_back_ms))
+        raise NoPlace(BACKING_OFF, self._signals.caller_retry_ms(service, held_back_ms))
 
     def held_back_ms(self, service: str) -> float:
         return self._signals.held_back_ms(one.instance for one in self._upstreams(service))
@@ -102,7 +102,7 @@
         return self._rng.sample(upstreams, MOST_WEIGHED)
 
     def _can_take(self, upstream: UpstreamRecord, avoid: tuple[str, ...]) -> bool:
-        if self._signals.backoffs.is_doubtful(upstream.instance):
+        if self._signals.backoffs.probably_rejects(upstream.instance):
             return False
         shunned = self._of(upstream).health.is_ejected(self._clock.now_ms())
         return not shunned and upstream.instance not in avoid
--- a/chestnutfall/forwarding/send_log.py
+++ b/chestnutfall/forwarding/send_log.py
@@ -6,7 +6,7 @@
 
 from ..limits.limit_signal import limit_text
 from ..routes import Route
-from ..signals.backoff_word import backoff_text
+from ..signals.backoff_signal import backoff_text
 from .place import Place
 from .progress import Progress
 from .send_result import Delivered, Failed, HeldBack, Lost, Refused, SendResult
--- a/chestnutfall/forwarding/sender.py
+++ b/chestnutfall/forwarding/sender.py
@@ -78,7 +78,7 @@
     def _hear(self, place: Place, answer: UpstreamAnswer, sent_ms: int) -> None:
         # Another incarnation at the same address speaks for itself.
         if answer.not_run is not NotRun.REPLACED:
-            self._signals.hear(place.upstream.instance, answer.signals, sent_ms, answer.ok)
+            self._signals.observe(place.upstream.instance, answer.signals, sent_ms, answer.ok)
 
 
 class _Sending:
--- a/chestnutfall/limits/limit_registry.py
+++ b/chestnutfall/limits/limit_registry.py
@@ -28,7 +28,7 @@
         self._limits: dict[str, UpstreamLimit] = {}
         self.changes = 0
 
-    def get_or_create(self, instance: str, counts_sends: bool = True) -> UpstreamLimit:
+    def ensure(self, instance: str, counts_sends: bool = True) -> UpstreamLimit:
         """Return the limit of an upstream, created with `counts_sends` if there is none yet."""
         if instance not in self._limits:
             self._limits[instance] = UpstreamLimit(counts_sends)
@@ -36,7 +36,7 @@
 
     def update(self, report: HeardLimit, counts_sends: bool) -> bool:
         """Apply a gateway's report of an answer; return whether the limit changed."""
-        limit = self.get_or_create(report.instance, counts_sends)
+        limit = self.ensure(report.instance, counts_sends)
         before = limit.declared_per_s
         changed = limit.apply_report(report, self._clock.now_ms())
         if changed:
--- a/chestnutfall/limits/plain_send_queues.py
+++ b/chestnutfall/limits/plain_send_queues.py
@@ -107,8 +107,7 @@
     def _due_of(self, service: str) -> Iterator[AddressedAnswer[Gateway]]:
         now_ms = self._clock.now_ms()
         limits = {
-            one: self._limits.get_or_create(one, counts_sends=False)
-            for one in self._serving(service)
+            one: self._limits.ensure(one, counts_sends=False) for one in self._serving(service)
         }
         free = {one: limit for one, limit in limits.items() if not limit.wait_ms(0, now_ms)}
         in_order: list[_Waiting[Gateway]] = []
--- a/chestnutfall/placement/active_backoffs.py
+++ b/chestnutfall/placement/active_backoffs.py
@@ -35,10 +35,10 @@
         if not self._active:
             return False
         backoff = self._active.get(engine.instance)
-        return backoff is not None and backoff.is_doubtful(self._now_ms)
+        return backoff is not None and backoff.probably_rejects(self._now_ms)
 
     def backoff_left_ms(self, req: PlaceRequest, engines: Iterable[Engine]) -> float:
         """Time until the first of `engines` accepts requests of this gateway; 0 without engines."""
         gateway = req.gateway
-        times_ms = (one.backoff.back_ms(gateway, self._now_ms) for one in engines)
+        times_ms = (one.backoff.unavailable_ms(gateway, self._now_ms) for one in engines)
         return min(times_ms, default=0.0)
--- a/chestnutfall/placement/placer.py
+++ b/chestnutfall/placement/placer.py
@@ -8,7 +8,7 @@
 from ..limits.limit_registry import LimitRegistry
 from ..quota.fair_share import FairShare
 from ..routes import EngineSpec
-from ..signals.backoff_book import BackoffBook
+from ..signals.backoff_registry import BackoffRegistry
 from .adapter_name import AdapterName
 from .candidate_engines import CandidateEngines
 from .decisions import Decision, Grant, LoadAdapter, LoadModel, Order, Reject, UnloadAdapter
@@ -50,11 +50,11 @@
         self,
         clock: Clock,
         limits: LimitRegistry | None = None,
-        backoffs: BackoffBook | None = None,
+        backoffs: BackoffRegistry | None = None,
     ) -> None:
         self._clock = clock
         self._limits = limits or LimitRegistry(clock)
-        self._backoffs = backoffs or BackoffBook(clock)
+        self._backoffs = backoffs or BackoffRegistry(clock)
         self.engines: dict[str, Engine] = {}
         self.kinds = EngineKinds()
         self._index = HolderIndex(self.engines)
@@ -79,7 +79,7 @@
             return
         kind, speed = self.kinds.of(service), self.kinds.prefill_speed_of(service)
         store = self.kinds.store_times_of(service)
-        limit, backoff = self._limits.get_or_create(instance), self._backoffs.of(instance)
+        limit, backoff = self._limits.ensure(instance), self._backoffs.ensure(instance)
         self.engines[instance] = Engine(
             instance, service, data_centre, spec, kind, speed, store, limit, backoff
         )
--- a/chestnutfall/placement/refusals.py
+++ b/chestnutfall/placement/refusals.py
@@ -5,7 +5,7 @@
 from ..clock import Clock
 from ..quota.return_times import MOST_WAIT_MS, ReturnTimes
 from ..signals import BACKING_OFF
-from ..signals.return_spread import ReturnSpread
+from ..signals.retry_spread import RetrySpread
 from .decisions import Reject
 from .place_request import PlaceRequest
 from .service_round import ServiceRound
@@ -13,7 +13,7 @@
 
 LEAST_RETRY_MS = 250
 """About one load; nothing has changed for a request that returns sooner."""
-MOST_RETRY_MS = 4_000
+MAX_RETRY_MS = 4_000
 """Usual deadlines are as long; a request that returns later is a new one."""
 
 
@@ -26,7 +26,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self._return_times = ReturnTimes()
-        self._spread = ReturnSpread(clock)
+        self._spread = RetrySpread(clock)
 
     def refuse_expired(self, req: PlaceRequest, service_round: ServiceRound, now_ms: int) -> Reject:
         """Refuse a request whose time is over."""
@@ -69,7 +69,7 @@
 
 
 def _reject(
-    req: PlaceRequest, reason: str, wait_ms: int = LEAST_RETRY_MS, most_ms: int = MOST_RETRY_MS
+    req: PlaceRequest, reason: str, wait_ms: int = LEAST_RETRY_MS, most_ms: int = MAX_RETRY_MS
 ) -> Reject:
     retry_ms = min(max(wait_ms, LEAST_RETRY_MS), most_ms)
     return Reject(req.ticket, reason, retry_ms)
--- a/chestnutfall/plain_edge/plain_proxy.py
+++ b/chestnutfall/plain_edge/plain_proxy.py
@@ -180,7 +180,7 @@
 
     def _all_back_off(self, service: str, upstreams: list[Upstream]) -> Refusal:
         held_back_ms = self._signals.held_back_ms(up.instance for up in upstreams)
-        wait_ms = self._signals.return_ms(service, held_back_ms)
+        wait_ms = self._signals.caller_retry_ms(service, held_back_ms)
         return Refusal(503, BACKING_OFF, "no upstream wants calls now", Executed.NO, wait_ms)
 
     def _all_limited(self, upstreams: list[Upstream]) -> Refusal:
@@ -206,7 +206,7 @@
         async with call as resp:
             self._unread.note(upstream.announcement.service, resp.headers)
             signals = read_signals(resp.status, resp.headers, OWN_SIGNALS)
-            self._signals.hear(upstream.instance, signals, sent_ms, resp.status < 300)
+            self._signals.observe(upstream.instance, signals, sent_ms, resp.status < 300)
             answer = await resp.content.read(MAX_ANSWER_BYTES)
             if not resp.content.at_eof():
                 raise aiohttp.ClientPayloadError("the answer is too large")
--- a/chestnutfall/platform/gateway.py
+++ b/chestnutfall/platform/gateway.py
@@ -66,8 +66,8 @@
     upstream_limits = KnownLimits(fleet.tell, lambda: known.gateways, clock, rng)
     backoffs = KnownBackoffs(fleet.tell, clock)
     signals = KnownSignals(upstream_limits, backoffs, clock)
-    fleet.on_limits, fleet.on_hints = upstream_limits.apply, backoffs.take_hints
-    fleet.heard_again = signals.again
+    fleet.on_limits, fleet.on_hints = upstream_limits.apply, backoffs.apply_hints
+    fleet.heard_again = signals.reports_for_new_leader
     forwarder = Forwarder(
         known,
         Admission(quotas),
--- a/chestnutfall/routing/dispatcher.py
+++ b/chestnutfall/routing/dispatcher.py
@@ -174,7 +174,7 @@
         sent_ms = self._clock.now_ms()
 
         def on_signals(signals: UpstreamSignals, succeeded: bool) -> None:
-            self._signals.hear(engine.instance, signals, sent_ms, succeeded)
+            self._signals.observe(engine.instance, signals, sent_ms, succeeded)
 
         # A pooled connection may have gone silent while it was idle. A request lost on it could
         # have run as far as we know, and could not be repeated; a connection made for it that
--- a/chestnutfall/routing/tickets.py
+++ b/chestnutfall/routing/tickets.py
@@ -87,7 +87,7 @@
             return
         self._metrics.count(f"refused.{BACKING_OFF}")
         status = 503 if executed is Executed.NO else 502
-        wait_ms = self._signals.return_ms(req.service, held_back_ms)
+        wait_ms = self._signals.caller_retry_ms(req.service, held_back_ms)
         raise Refusal(status, BACKING_OFF, "no engine wants work now", executed, wait_ms)
 
     def _any_engine(self, req: CallerRequest) -> bool:
--- a/chestnutfall/signals/known_signals.py
+++ b/chestnutfall/signals/known_signals.py
@@ -1,4 +1,4 @@
-"""All that a gateway knows of what upstreams say, and the last check before each send."""
+"""All signals of upstreams that one gateway knows, and the check before each send."""
 
 from __future__ import annotations
 
@@ -10,50 +10,64 @@
 from ..limits.messages import HeardLimit
 from .known_backoffs import KnownBackoffs
 from .messages import HeardBackoff
-from .return_spread import ReturnSpread
+from .retry_spread import RetrySpread
 from .upstream_signals import UpstreamSignals
 
 
 class KnownSignals:
-    """Where every answer is heard, and every send is asked for.
+    """Takes in the signals of every answer, and allows or forbids every send.
 
     Attributes
     ----------
     limits : KnownLimits
-        Requests a second that upstreams take.
+        Requests per second that upstreams accept.
     backoffs : KnownBackoffs
-        Upstreams that want no work.
+        Upstreams that accept no requests for some time, or are leaving.
     """
 
     def __init__(self, limits: KnownLimits, backoffs: KnownBackoffs, clock: Clock) -> None:
         self.limits = limits
         self.backoffs = backoffs
-        self._spread = ReturnSpread(clock)
+        self._spread = RetrySpread(clock)
 
-    def hear(self, instance: str, signals: UpstreamSignals, sent_ms: int, succeeded: bool) -> None:
-        """Take in what the answer to a request said that was sent at `sent_ms`."""
+    def observe(
+        self, instance: str, signals: UpstreamSignals, sent_ms: int, succeeded: bool
+    ) -> None:
+        """Apply the signals of an answer.
+
+        Parameters
+        ----------
+        sent_ms : int
+            Clock time at which the request was sent.
+        succeeded : bool
+            Whether the answer is a success.
+        """
         self.limits.observe(instance, signals.limit, sent_ms, succeeded)
-        self.backoffs.hear(instance, signals)
+        self.backoffs.observe(instance, signals)
         if succeeded:
             self.backoffs.note_served(instance)
 
     def may_send(self, instance: str) -> bool:
-        """The last check before each send, whoever chose the upstream and however long ago.
+        """Return whether a request may be sent now; checked last before each send.
 
-        Between that choice and the send an answer to another request may have asked for time.
-        Symptom without it: a place that was given before, a wait for an adapter, a repeat or a
-        resumed run reaches an upstream that has just said that it wants nothing.
+        The upstream was chosen earlier, by this gateway or another process, and since then an
+        answer to another request may have asked for a backoff. Without this check a place that
+        was granted before, a wait for an adapter, a repeat or a resumed run reaches an upstream
+        that has just asked for no requests.
         """
         return not self.backoffs.left_ms(instance)
 
-    def again(self) -> tuple[HeardLimit | HeardBackoff, ...]:
-        """What to tell a leader that has just begun."""
-        return (*self.limits.reports_for_new_leader(), *self.backoffs.again())
+    def reports_for_new_leader(self) -> tuple[HeardLimit | HeardBackoff, ...]:
+        """Reports of all known signals, for a leader that has just started its term."""
+        return (*self.limits.reports_for_new_leader(), *self.backoffs.reports_for_new_leader())
 
     def held_back_ms(self, instances: Iterable[str]) -> float:
-        """Time until the first of some upstreams takes work; 0 if one does, or there is none.
+        """Time until the first of some upstreams accepts requests from this gateway.
 
-        Endless if all of them leave.
+        Returns
+        -------
+        float
+            0 if one accepts them now or `instances` is empty; infinite if all are leaving.
         """
         least_ms = math.inf
         found = False
@@ -65,6 +79,14 @@
             least_ms = min(least_ms, left_ms)
         return least_ms if found else 0.0
 
-    def return_ms(self, service: str, held_back_ms: float) -> int:
-        """When a caller should come back that no upstream of a service takes: its own moment."""
+    def caller_retry_ms(self, service: str, held_back_ms: float) -> int:
+        """Time after which a caller should retry that no upstream of a service accepts.
+
+        Differs between callers, so that they don't all retry at once.
+
+        Parameters
+        ----------
+        held_back_ms : float
+            Result of `held_back_ms` for the upstreams of the service.
+        """
         return self._spread.wait_ms(service, held_back_ms)
--- a/chestnutfall/signals/messages.py
+++ b/chestnutfall/signals/messages.py
@@ -1,4 +1,4 @@
-"""What gateways and the leader tell each other of upstreams that want no work."""
+"""Messages about backoffs between gateways and the leader or the owners of engines."""
 
 from __future__ import annotations
 
@@ -7,12 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HeardBackoff:
-    """An upstream wants no request from the gateway that tells this.
+    """An upstream asked a gateway for a backoff, or is leaving.
+
+    From a gateway it reports a backoff towards that gateway; in `BackoffHints` it is one towards
+    another gateway.
 
     Attributes
     ----------
     left_ms : int or None
-        For how long; None for good, since it leaves.
+        Time until the backoff ends; None if it never does, since the upstream is leaving.
     """
 
     instance: str
@@ -21,6 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class BackoffHints:
-    """Plain upstreams that asked other gateways for time; they are the last choice meanwhile."""
+    """The leader's hints of plain upstreams that asked other gateways for a backoff.
+
+    A gateway chooses these upstreams last until their backoffs end.
+    """
 
     hints: tuple[HeardBackoff, ...]
--- a/chestnutfall/signals/own_headers.py
+++ b/chestnutfall/signals/own_headers.py
@@ -1,4 +1,4 @@
-"""Signals on the product's own interface to upstreams."""
+"""Names of the signal headers on chestnutfall's own interface to upstreams."""
 
 from __future__ import annotations
 
--- a/chestnutfall/signals/read_signals.py
+++ b/chestnutfall/signals/read_signals.py
@@ -1,4 +1,4 @@
-"""From the head of an answer to what it says of its upstream, for every dialect."""
+"""Reading an upstream's signals from the head of an answer, in every dialect."""
 
 from __future__ import annotations
 
@@ -6,17 +6,27 @@
 from dataclasses import dataclass
 
 from ..limits import read_limit
-from .backoff_word import BACKOFF_HEADER, read_backoff
+from .backoff_signal import BACKOFF_HEADER, read_backoff
 from .upstream_load import read_load
 from .upstream_signals import UpstreamSignals
 
 IS_LEAVING = "1"
-"""The one value with which an upstream says that it leaves."""
+"""The only header value that says that an upstream is leaving."""
 
 
 @dataclass(frozen=True, slots=True)
 class SignalHeaders:
-    """The headers of one dialect."""
+    """Names of the signal headers in one dialect of the interface to upstreams.
+
+    Attributes
+    ----------
+    limit : str
+        Declares the requests per second that the upstream accepts.
+    leaving : str
+        Says that the upstream is leaving.
+    load : str
+        Tells its running and waiting requests and its places.
+    """
 
     limit: str
     leaving: str
@@ -24,7 +34,7 @@
 
     @property
     def all(self) -> tuple[str, ...]:
-        """Their names."""
+        """The names of all signal headers."""
         return self.limit, self.leaving, self.load
 
 
@@ -34,7 +44,9 @@
     Parameters
     ----------
     headers : mapping of str to str
-        Found whatever the case of their names.
+        Headers of the answer; lookups must ignore the case of names.
+    names : SignalHeaders
+        Header names of the upstream's dialect.
     """
     return UpstreamSignals(
         read_limit(headers.get(names.limit)),
--- a/chestnutfall/signals/unread_headers.py
+++ b/chestnutfall/signals/unread_headers.py
@@ -1,4 +1,4 @@
-"""Response headers of upstreams that no part of this gateway knows."""
+"""Response headers of upstreams that this gateway does not know."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 from collections.abc import Callable, Collection, Iterable
 
 log = logging.getLogger(__name__)
-MOST_NAMES = 64
-"""Far more than one upstream's new release brings; bounds what a faulty one can make us keep."""
-MOST_CHARACTERS = 64
-"""Of a name; longer ones are cut."""
+MAX_NAMES = 64
+"""Distinct names that are kept; bounds the memory that a faulty upstream can make us use. A new
+release of an upstream adds far fewer."""
+MAX_NAME_CHARS = 64
+"""Longer names are cut."""
 OTHERS = "others"
+"""Label of names beyond `MAX_NAMES`."""
 STANDARD = frozenset(
     {
         "accept-ranges",
@@ -43,22 +45,23 @@
         "www-authenticate",
     }
 )
-"""Headers of HTTP that the library reads, or that are for the caller alone."""
+"""HTTP headers that the HTTP library reads, or that concern the caller only."""
 
 
 class UnreadHeaders:
-    """Counts headers that nobody reads by name, and logs each name once.
+    """Counts the headers of answers that the gateway ignores, and logs each name once.
 
-    An upstream's new release may say something of itself by a header that is passed on to callers
-    and obeyed by nobody. Symptom: it goes on to get what it asked not to get, and neither logs nor
-    metrics show a reason. Values are left out, since they may be secrets.
+    A new release of an upstream may add a signal header that the gateway passes on to callers and
+    ignores. The upstream then still receives requests that it asked not to receive, and without
+    this class neither logs nor metrics would show a reason. Values are not logged, since they may
+    be secrets.
 
     Parameters
     ----------
     read : collection of str
-        Names that the dialect knows.
+        Header names that the dialect reads, in any case.
     count : callable
-        Adds one to a counter.
+        Adds one to the counter of a given name.
     """
 
     def __init__(self, read: Collection[str], count: Callable[[str], None]) -> None:
@@ -67,20 +70,20 @@
         self._logged: set[str] = set()
 
     def note(self, service: str, names: Iterable[str]) -> None:
-        """Look at the names of an answer's headers."""
+        """Count and log the unknown names among an answer's headers."""
         for name in names:
             if name.lower() not in self._read:
-                self._note(service, name.lower()[:MOST_CHARACTERS])
+                self._note(service, name.lower()[:MAX_NAME_CHARS])
 
     def _note(self, service: str, name: str) -> None:
         if name in self._logged:
             self._count(f"unread_header_{_label(name)}")
-        elif len(self._logged) >= MOST_NAMES:
+        elif len(self._logged) >= MAX_NAMES:
             self._count(f"unread_header_{OTHERS}")
         else:
             self._logged.add(name)
             self._count(f"unread_header_{_label(name)}")
-            log.warning("header: service=%s name=%r is read by nobody", service, name)
+            log.warning("header: service=%s name=%r is unknown and ignored", service, name)
 
 
 def _label(name: str) -> str:
--- a/chestnutfall/signals/upstream_load.py
+++ b/chestnutfall/signals/upstream_load.py
@@ -1,4 +1,4 @@
-"""How much an upstream has to do, by its own word."""
+"""An upstream's load as told in its answers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,15 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLoad:
-    """Requests that an upstream runs, those that wait there, and its places."""
+    """The requests at an upstream.
+
+    Attributes
+    ----------
+    running, waiting : int
+        Requests that it runs, and that are queued there.
+    places : int
+        Requests that it can run at a time.
+    """
 
     running: int
     waiting: int
@@ -18,9 +26,10 @@
 
 
 def read_load(text: str | None) -> UpstreamLoad | None:
-    """Read a load as it stands in a header; None for anything that is none.
+    """Parse the value of a load header; None if it is missing or malformed.
 
-    A load is a hint: without it an upstream is weighed by what this gateway sends there.
+    The load is a hint, so a malformed one is no error: without it an upstream is weighed by what
+    this gateway sends there.
     """
     found = _FIGURES.fullmatch(text) if text is not None else None
     return UpstreamLoad(*map(int, found.groups())) if found is not None else None
--- a/chestnutfall/signals/upstream_signals.py
+++ b/chestnutfall/signals/upstream_signals.py
@@ -1,32 +1,32 @@
-"""All that one answer says of its upstream."""
+"""All signals of one answer."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 from ..limits import LimitSignal, UndeclaredLimit
-from .backoff_word import BackoffWord, NoBackoff
+from .backoff_signal import BackoffSignal, NoBackoff
 from .upstream_load import UpstreamLoad
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamSignals:
-    """What an upstream says of itself.
+    """What one answer says about the upstream that gave it.
 
     Attributes
     ----------
     limit : LimitSignal
-        Requests a second that it takes from all gateways together.
-    backoff : BackoffWord
-        For how long it wants no request from the gateway that it answers.
+        Requests per second that the upstream accepts from all gateways together.
+    backoff : BackoffSignal
+        How long it asks for no requests from the gateway that it answers.
     leaving : bool
-        Whether it is about to end and wants no new work.
+        Whether it is about to end and accepts no new work.
     load : UpstreamLoad or None
-        What it has to do, if it tells.
+        Its load, if the answer tells it.
     """
 
     limit: LimitSignal = field(default_factory=UndeclaredLimit)
-    backoff: BackoffWord = field(default_factory=NoBackoff)
+    backoff: BackoffSignal = field(default_factory=NoBackoff)
     leaving: bool = False
     load: UpstreamLoad | None = None
 
--- a/chestnutfall/standin/spoken_words.py
+++ b/chestnutfall/standin/spoken_words.py
@@ -4,7 +4,7 @@
 
 from aiohttp import web
 
-from ..signals.backoff_word import BACKOFF_HEADER
+from ..signals.backoff_signal import BACKOFF_HEADER
 
 
 class SpokenWords:
--- a/chestnutfall/tests/fakes/limit_office.py
+++ b/chestnutfall/tests/fakes/limit_office.py
@@ -9,9 +9,9 @@
 from ...placement import RunOutcome
 from ...placement.run_times import RunTimes
 from ...signals import UpstreamLoad
-from .named_upstream import ENGINES, PLAIN
 from .placing_gateway import PlacingGateway
 from .placing_office import PlacingOffice
+from .signalling_upstream import ENGINES, PLAIN
 
 HEAD_MS = 20
 RUN_MS = 60
@@ -84,7 +84,7 @@
         load = UpstreamLoad(upstream.running, 0, PLACES)
         fails = self.rng.random() < self.fail_fraction
         signals = upstream.signals(500 if fails else 200)
-        gateway.signals.hear(place.upstream.instance, signals, sent_ms, succeeded=not fails)
+        gateway.signals.observe(place.upstream.instance, signals, sent_ms, succeeded=not fails)
         await self.clock.sleep_ms(RUN_MS)
         upstream.running -= 1
         outcome = RunOutcome.BROKEN if fails else RunOutcome.DONE
--- a/chestnutfall/tests/fakes/placement_case.py
+++ b/chestnutfall/tests/fakes/placement_case.py
@@ -18,7 +18,7 @@
 )
 from ...placement.placer import Placer
 from ...routes import EngineSpec, ModelSpec
-from ...signals.backoff_book import BackoffBook
+from ...signals.backoff_registry import BackoffRegistry
 from ...signals.messages import HeardBackoff
 
 SPEC = EngineSpec(16, 1_000_000, (ModelSpec("base", 50),), 60, 4, 5)
@@ -43,7 +43,7 @@
     def setUp(self) -> None:
         self.clock = ManualClock(60_000)
         self.book = LimitRegistry(self.clock)
-        self.backoffs = BackoffBook(self.clock)
+        self.backoffs = BackoffRegistry(self.clock)
         self.placer = Placer(self.clock, self.book, self.backoffs)
         self.runs_on = False
         self.granted: dict[str, str] = {}
@@ -60,7 +60,7 @@
         self.placer.limit_changed(name)
 
     def _back_off(self, name: str, gateway: str, left_ms: int | None) -> None:
-        self.backoffs.hear(gateway, HeardBackoff(name, left_ms))
+        self.backoffs.update(gateway, HeardBackoff(name, left_ms))
 
     def _submit(self, ticket: str, adapter: str, wait_ms: int = 4_000) -> None:
         name = AdapterName("base", adapter)
--- a/chestnutfall/tests/fakes/placing_gateway.py
+++ b/chestnutfall/tests/fakes/placing_gateway.py
@@ -19,8 +19,8 @@
 from ...platform.document_json import DocumentJson
 from ...signals.known_backoffs import KnownBackoffs
 from ...signals.known_signals import KnownSignals
-from .named_upstream import ENGINES, PLAIN, NamedUpstream
 from .placing_leader import PlacingLeader
+from .signalling_upstream import ENGINES, PLAIN, SignallingUpstream
 
 
 class PlacingGateway:
@@ -35,7 +35,7 @@
     def __init__(
         self,
         name: str,
-        upstreams: Iterable[NamedUpstream],
+        upstreams: Iterable[SignallingUpstream],
         gateways: Callable[[], int],
         clock: Clock,
     ) -> None:
@@ -48,8 +48,8 @@
         limits = KnownLimits(self.fleet.tell, gateways, clock, rng)
         backoffs = KnownBackoffs(self.fleet.tell, clock)
         self.signals = KnownSignals(limits, backoffs, clock)
-        self.fleet.on_limits, self.fleet.on_hints = limits.apply, backoffs.take_hints
-        self.fleet.heard_again = self.signals.again
+        self.fleet.on_limits, self.fleet.on_hints = limits.apply, backoffs.apply_hints
+        self.fleet.heard_again = self.signals.reports_for_new_leader
         self.places: dict[str, Places] = {
             ENGINES: EnginePlaces(self.fleet, self.signals, clock, name, "dc"),
             PLAIN: PlainPlaces(
@@ -57,7 +57,7 @@
             ),
         }
 
-    def see(self, upstreams: Iterable[NamedUpstream]) -> None:
+    def see(self, upstreams: Iterable[SignallingUpstream]) -> None:
         """Take over which upstreams serve, and what engines hold."""
         present = list(upstreams)
         records = tuple(one.record for one in present)
@@ -74,7 +74,7 @@
     def join(self, leader: PlacingLeader) -> None:
         """Follow a leader."""
         leader.join(self.name)
-        for heard in self.signals.again():
+        for heard in self.signals.reports_for_new_leader():
             leader.take(self.name, heard)
         self.fleet._join("leader")
 
--- a/chestnutfall/tests/fakes/placing_leader.py
+++ b/chestnutfall/tests/fakes/placing_leader.py
@@ -26,9 +26,9 @@
     UnloadAdapter,
 )
 from ...placement.placer import Placer
-from ...signals.backoff_book import BackoffBook
+from ...signals.backoff_registry import BackoffRegistry
 from ...signals.messages import HeardBackoff
-from .named_upstream import ENGINES, SPEC, NamedUpstream
+from .signalling_upstream import ENGINES, SPEC, SignallingUpstream
 
 
 class PlacingLeader:
@@ -44,13 +44,13 @@
 
     def __init__(
         self,
-        upstreams: Callable[[], Iterable[NamedUpstream]],
+        upstreams: Callable[[], Iterable[SignallingUpstream]],
         on_order: Callable[[Order], None],
         clock: Clock,
     ) -> None:
         self._upstreams = upstreams
         self._on_order = on_order
-        book, backoffs = LimitRegistry(clock), BackoffBook(clock)
+        book, backoffs = LimitRegistry(clock), BackoffRegistry(clock)
         self._sessions = GatewaySessions()
         self.placer = Placer(clock, book, backoffs)
         self._limits = LimitDesk(book, backoffs, self.placer, self._sessions, clock)
@@ -70,7 +70,7 @@
         self._limits.use(records)
         self._backoffs.use(records)
 
-    def _begin(self, record: UpstreamRecord, engine: NamedUpstream) -> None:
+    def _begin(self, record: UpstreamRecord, engine: SignallingUpstream) -> None:
         self.placer.engine_up(record.instance, record.service, "dc", SPEC)
         report = EngineReport({"base": 1}, dict(engine.holds), {}, 0)
         self.placer.engine_reported(record.instance, report)
--- a/chestnutfall/tests/fakes/placing_office.py
+++ b/chestnutfall/tests/fakes/placing_office.py
@@ -13,9 +13,9 @@
 from ...forwarding.place import Wanted
 from ...placement import AdapterName, Order
 from ...routes import Route, RouteKind, ServiceSpec, WeightedService
-from .named_upstream import ADAPTERS, ENGINES, PLAIN, SPEC, NamedUpstream
 from .placing_gateway import PlacingGateway
 from .placing_leader import PlacingLeader
+from .signalling_upstream import ADAPTERS, ENGINES, PLAIN, SPEC, SignallingUpstream
 
 STEP_MS = 8
 DEADLINE_MS = 1_000
@@ -26,7 +26,7 @@
 
     Attributes
     ----------
-    upstreams : dict of str to NamedUpstream
+    upstreams : dict of str to SignallingUpstream
         All that serve, by instance.
     """
 
@@ -35,11 +35,13 @@
         asyncio.get_running_loop().set_debug(False)
         self.clock = ManualClock(60_000)
         self.rng = random.Random(seed)
-        self.upstreams: dict[str, NamedUpstream] = {}
+        self.upstreams: dict[str, SignallingUpstream] = {}
         for service, count in ((ENGINES, engines), (PLAIN, plain)):
             for at in range(count):
                 name = f"{service}-{at}"
-                self.upstreams[name] = NamedUpstream(UpstreamRecord(name, service, "1:1", "dc"))
+                self.upstreams[name] = SignallingUpstream(
+                    UpstreamRecord(name, service, "1:1", "dc")
+                )
         self.gateways: dict[str, PlacingGateway] = {}
         for at in range(gateways):
             self.gateways[f"g{at}"] = self._gateway(f"g{at}")
--- a/chestnutfall/tests/fakes/signal_office.py
+++ b/chestnutfall/tests/fakes/signal_office.py
@@ -1,4 +1,4 @@
-"""An office whose upstreams ask for time or leave, and calls through the real forwarder."""
+"""A simulated deployment whose upstreams ask for backoffs or leave, with the real forwarder."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
 from ...settings.repeat_bounds import RepeatBounds
 from ...signals import AskedBackoff
 from .fake_upstreams import FixedRoutes, RecordedReply, ScriptedQuotaLine
-from .named_upstream import ADAPTERS, ENGINES, PLAIN, SPEC, Asked, NamedUpstream
 from .placing_gateway import PlacingGateway
 from .placing_office import DEADLINE_MS, PlacingOffice
+from .signalling_upstream import ADAPTERS, ENGINES, PLAIN, SPEC, BackoffRequest, SignallingUpstream
 
 OBJECTIVE_MS = 500
 PAUSE_MS = 300
@@ -51,19 +51,21 @@
 REPEATS = RepeatBounds(0.2, 50, 10_000)
 HOST = "a.example"
 ONCE = "once"
-"""A route to the plain service whose calls may not be repeated."""
+"""A route to the plain service for calls that must not be repeated."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """What a caller got.
+class FinishedCall:
+    """The final answer to a call.
 
     Attributes
     ----------
     sent_ms, took_ms : int
-        When it sent its call, and how long that took.
+        Clock time at which the caller sent the call, and the time until its final answer.
     reason : str
         Why it was refused; empty if it was not.
+    retry_after_ms : int or None
+        Time after which the caller is told to retry.
     """
 
     service: str
@@ -76,10 +78,18 @@
     retry_after_ms: int | None
 
 
-class NamedApi(UpstreamApi):
-    """One gateway's line to all upstreams."""
+class SignallingApi(UpstreamApi):
+    """One gateway's interface to all simulated upstreams.
 
-    def __init__(self, upstreams: dict[str, NamedUpstream], gateway: str, clock: Clock) -> None:
+    Attributes
+    ----------
+    head_ms : int
+        Time from a send to the head of a success.
+    """
+
+    def __init__(
+        self, upstreams: dict[str, SignallingUpstream], gateway: str, clock: Clock
+    ) -> None:
         self._upstreams = upstreams
         self._gateway = gateway
         self._clock = clock
@@ -93,18 +103,20 @@
             raise NotSent("gone")
         now_ms = self._clock.now_ms()
         upstream.arrivals.append((now_ms, self._gateway))
-        # What it says is decided when a request comes; its answers may overtake each other.
+        # The signals are those at the arrival of the request; answers may arrive in another order.
         status = self._status(upstream, forwarded)
         signals = upstream.signals(status)
         not_run = None
         if status == 421:
             not_run = NotRun.ABSENT
-        elif status == 503 and upstream.proves:
+        elif status == 503 and upstream.proves_not_run:
             not_run = NotRun.FULL
         if upstream.leaving:
-            upstream.told.setdefault(self._gateway, now_ms)
+            upstream.leaving_told_ms.setdefault(self._gateway, now_ms)
         if isinstance(signals.backoff, AskedBackoff):
-            upstream.asked.append(Asked(now_ms, self._gateway, signals.backoff.ms))
+            upstream.backoff_requests.append(
+                BackoffRequest(now_ms, self._gateway, signals.backoff.ms)
+            )
         await self._clock.sleep_ms(self.head_ms if status == 200 else REFUSAL_MS)
         upstream.running += status == 200
         try:
@@ -114,14 +126,14 @@
             upstream.running -= status == 200
 
     @staticmethod
-    def _status(upstream: NamedUpstream, forwarded: ForwardedCall) -> int:
+    def _status(upstream: SignallingUpstream, forwarded: ForwardedCall) -> int:
         if upstream.backoff is not None:
-            return upstream.turns_away_with
+            return upstream.rejection_status
         adapter = forwarded.call.adapter
         return 421 if adapter is not None and adapter not in upstream.holds else 200
 
     async def _events(
-        self, upstream: NamedUpstream, forwarded: ForwardedCall
+        self, upstream: SignallingUpstream, forwarded: ForwardedCall
     ) -> AsyncIterator[bytes]:
         after = forwarded.resume_after or 0
         upstream.resumed += after > 0
@@ -141,14 +153,14 @@
 
 
 class SignalOffice(PlacingOffice):
-    """Calls from their arrival to their final answer.
+    """Runs calls from their arrival to their final answer, without a network.
 
     Attributes
     ----------
-    ended : list of Ended
-        What callers got.
+    finished : list of FinishedCall
+        All calls that have their final answer.
     adapters : list of str
-        What calls to engines ask for, at random.
+        Adapters that calls to engines name, at random.
     metrics : Histograms
         Counters of all gateways together.
     """
@@ -161,10 +173,10 @@
         seed: int = 1,
         repeats: RepeatBounds = REPEATS,
     ) -> None:
-        self.ended: list[Ended] = []
+        self.finished: list[FinishedCall] = []
         self.adapters = [f"a{at}" for at in range(ADAPTERS)]
         self.metrics = Histograms()
-        self.apis: dict[str, NamedApi] = {}
+        self.apis: dict[str, SignallingApi] = {}
         self._forwarders: dict[str, Forwarder] = {}
         self._bounds = repeats
         self._numbers = 0
@@ -173,7 +185,7 @@
     def _gateway(self, name: str) -> PlacingGateway:
         gateway = super()._gateway(name)
         rng = random.Random(name)
-        self.apis[name] = NamedApi(self.upstreams, name, self.clock)
+        self.apis[name] = SignallingApi(self.upstreams, name, self.clock)
         self._forwarders[name] = Forwarder(
             FixedRoutes(_table(), self.clock),
             Admission(QuotaDesk(ScriptedQuotaLine(), lambda: 1, OFFICE, self.clock, rng)),
@@ -199,7 +211,7 @@
         return False
 
     def on_order(self, order: Order) -> None:
-        """Carry out an order to an engine."""
+        """Carry out an order that the leader gives to an engine."""
         engine = self.upstreams.get(order.instance)
         match order:
             case LoadAdapter(adapter=adapter, version=version) if engine is not None:
@@ -211,22 +223,22 @@
             case _:
                 pass
 
-    async def _load(self, engine: NamedUpstream, adapter: AdapterName, version: int) -> None:
+    async def _load(self, engine: SignallingUpstream, adapter: AdapterName, version: int) -> None:
         await self.clock.sleep_ms(LOAD_MS)
         engine.holds[adapter] = version
 
     def see(self) -> None:
-        """Let everybody know which upstreams there are."""
+        """Tell the leader and all gateways which upstreams exist."""
         if self.leader is not None:
             self.leader.see()
         for gateway in self.gateways.values():
             gateway.see(self.upstreams.values())
 
-    def replace(self, instance: str, successor: str) -> NamedUpstream:
-        """Let another incarnation follow at the address of an upstream."""
+    def replace(self, instance: str, successor: str) -> SignallingUpstream:
+        """Replace an upstream by another incarnation at the same address, and return that."""
         old = self.upstreams.pop(instance)
         record = dataclasses.replace(old.record, instance=successor)
-        self.upstreams[successor] = NamedUpstream(record)
+        self.upstreams[successor] = SignallingUpstream(record)
         self.see()
         return self.upstreams[successor]
 
@@ -238,7 +250,7 @@
             adapter = AdapterName("base", names[self.rng.randrange(len(names))])
         path = f"/{service}/x"
         self._numbers += 1
-        # Each call is one of its own, so that none is taken for a copy of another.
+        # Bodies differ, so that no call is taken for a copy of another.
         body = str(self._numbers).encode()
         call = Call(
             f"id-{self._numbers}",
@@ -255,8 +267,8 @@
         )
         reply = RecordedReply()
         await self._forwarders[gateway.name].serve(call, reply)
-        self.ended.append(
-            Ended(
+        self.finished.append(
+            FinishedCall(
                 service,
                 gateway.name,
                 organisation,
@@ -268,37 +280,41 @@
             )
         )
 
-    # What came of it
+    # Results
 
-    def of(self, service: str, from_ms: int = 0, until_ms: int = 2**62) -> list[Ended]:
-        """Calls to a service that were sent in a time."""
+    def of(self, service: str, from_ms: int = 0, until_ms: int = 2**62) -> list[FinishedCall]:
+        """The finished calls to a service that were sent from `from_ms` until `until_ms`."""
         return [
             one
-            for one in self.ended
+            for one in self.finished
             if one.service == service and from_ms <= one.sent_ms < until_ms
         ]
 
     def served(self, service: str, from_ms: int = 0, until_ms: int = 2**62) -> float:
-        """Part of these that got a success."""
+        """Fraction of these calls that succeeded."""
         found = self.of(service, from_ms, until_ms)
         return sum(one.status == 200 for one in found) / max(len(found), 1)
 
-    def disobeyed(self) -> list[str]:
-        """Requests within a time that an upstream had asked that gateway for, or after it left."""
+    def violations(self) -> list[str]:
+        """Describe each request that a gateway sent against an upstream's signal.
+
+        That is within a backoff asked of that gateway, or after an answer to it said that the
+        upstream is leaving.
+        """
         found: list[str] = []
         for upstream in self.upstreams.values():
-            found += _disobeyed(upstream)
+            found += _violations(upstream)
         return found
 
 
-def _disobeyed(upstream: NamedUpstream) -> Iterator[str]:
+def _violations(upstream: SignallingUpstream) -> Iterator[str]:
     instance = upstream.record.instance
-    for asked in upstream.asked:
+    for asked in upstream.backoff_requests:
         known_ms, until_ms = asked.at_ms + REFUSAL_MS, asked.at_ms + asked.for_ms
         for at_ms, gateway in upstream.arrivals:
             if gateway == asked.gateway and known_ms < at_ms < until_ms:
                 yield f"{instance}: {gateway} at {at_ms}, asked at {asked.at_ms}"
-    for gateway, told_ms in upstream.told.items():
+    for gateway, told_ms in upstream.leaving_told_ms.items():
         for at_ms, by in upstream.arrivals:
             if by == gateway and at_ms > told_ms + HEAD_MS:
                 yield f"{instance}: {gateway} at {at_ms}, told at {told_ms}"
--- a/chestnutfall/tests/test_backoff_completions.py
+++ b/chestnutfall/tests/test_backoff_completions.py
@@ -1,4 +1,4 @@
-"""Engines that ask for time or leave, on the product's own interface, through one office."""
+"""Engines that ask for backoffs or are leaving, on the native interface with several gateways."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .fakes.completion_case import CompletionCase
 from .fakes.fake_engine import FakeEngine
 
-SERVED = 0.98
+MIN_SERVED = 0.98
 
 
 class BackoffCompletionTest(CompletionCase):
@@ -19,14 +19,14 @@
         return max((self.office.engine(at) for at in range(2)), key=lambda one: len(one.arrivals))
 
     def _check_one(self, engine: FakeEngine, for_ms: int) -> None:
-        """Whether each gateway was turned away once a time, and callers lost nothing."""
+        """Assert that each gateway is rejected once per backoff, and that no call is refused."""
         asked = [at_ms for at_ms in engine.turned_away]
         rounds = -(-(self.office.clock.now_ms() - asked[0]) // for_ms)
-        # Calls that were on their way beside the first one come on top.
+        # Calls that were already in flight with the first one are rejected as well.
         self.assertLessEqual(len(asked), 3 * rounds * len(self.office.gateways))
         self.assertEqual(self.refusals, [])
 
-    # Guards against engines that ask a gateway for time and get its next completion at once.
+    # Guards against a gateway that ignores an engine's backoff and sends the next call at once.
     async def test_one_of_two_engines_gets_its_time_and_callers_lose_nothing(self) -> None:
         await self.office.start(gateways=3, engines=2)
         await self._load(1_000)
@@ -40,7 +40,7 @@
         await self._load(3_000)
         self.assertGreater(len(engine.arrivals) - before, 0)
 
-    # Guards against callers who wait for their deadline while all engines want time.
+    # Guards against callers that wait until their deadline while all engines ask for a backoff.
     async def test_where_all_ask_for_time_callers_are_told_at_once(self) -> None:
         await self.office.start(gateways=2, engines=1)
         await self._load(1_000)
@@ -59,9 +59,9 @@
         await self._load(2_200)
         self.served = self.asked = 0
         await self._load(2_000)
-        self.assertGreaterEqual(self.served, SERVED * self.asked - 5)
+        self.assertGreaterEqual(self.served, MIN_SERVED * self.asked - 5)
 
-    # Guards against a ticket that was given before its engine asked for time.
+    # Guards against using a ticket that was granted before its engine asked for a backoff.
     async def test_a_ticket_in_hand_is_not_used_when_its_engine_asked_for_time(self) -> None:
         await self.office.start(gateways=1, engines=2)
         await self._load(400)
@@ -77,7 +77,7 @@
 
         async def acquire_late(req: object) -> object:
             outcome = await acquire(req)  # type: ignore[arg-type]
-            gateway.signals.hear(name.instance, engine.signals(503), 0, succeeded=False)
+            gateway.signals.observe(name.instance, engine.signals(503), 0, succeeded=False)
             return outcome
 
         engine.backoff = "5"
@@ -87,7 +87,7 @@
         self.assertEqual(len(engine.arrivals), arrivals)
         self.assertEqual((self.served, self.refusals), (self.asked, []))
 
-    # Guards against engines that say that they leave, announce themselves as ready, and get work.
+    # Guards against sends to a leaving engine that still announces itself as ready.
     async def test_an_engine_that_says_that_it_leaves_gets_nothing_more(self) -> None:
         await self.office.start(gateways=3, engines=2)
         await self._load(1_000)
@@ -99,7 +99,7 @@
         self.assertEqual(len(engine.arrivals), arrivals)
         self.assertEqual((self.served, self.refusals), (self.asked - len(self.calls), []))
 
-    # Guards against tickets that are asked for again and again, of an owner that was told nothing.
+    # Guards against repeated ticket requests to an owner that does not know of the signal.
     async def test_an_engine_that_leaves_is_not_asked_for_whatever_its_owner_knows(self) -> None:
         await self.office.start(gateways=1, engines=2)
         await self._load(400)
@@ -113,17 +113,17 @@
         gateway.links.acquire = counted  # type: ignore[method-assign, assignment]
         gateway.links.hear_backoff = lambda engine, heard: None  # type: ignore[method-assign]
         leaving = next(iter(gateway.registry.serving()))
-        word = UpstreamSignals(leaving=True)
-        gateway.signals.hear(leaving.instance, word, 0, succeeded=True)
+        signals = UpstreamSignals(leaving=True)
+        gateway.signals.observe(leaving.instance, signals, 0, succeeded=True)
         await self._load(1_000)
         self.assertEqual(asked[leaving.name], 0)
         self.assertGreater(sum(asked.values()), 0)
 
-    # Guards against a run that is lost since its engine leaves while its stream is broken.
+    # Guards against losing a run whose stream breaks while its engine is leaving.
     async def test_a_run_is_resumed_at_an_engine_that_leaves(self) -> None:
         await self.office.start(gateways=1, engines=1)
         await self._load(400)
-        await self.office.clock.advance(2_000)  # all were served
+        await self.office.clock.advance(2_000)  # all calls are served
         engine = self.office.engine()
         engine.leaving = True
         engine.faults["mid_reset"] = 1
@@ -132,11 +132,11 @@
         self.assertEqual(engine.resumed, 1)
         self.assertEqual(self.refusals, [])
 
-    # Guards against a resumed run that comes within the time that its engine asked for.
+    # Guards against resuming a run before the end of its engine's backoff.
     async def test_a_run_is_resumed_when_the_time_is_over(self) -> None:
         await self.office.start(gateways=1, engines=1)
         await self._load(400)
-        await self.office.clock.advance(2_000)  # all were served
+        await self.office.clock.advance(2_000)  # all calls are served
         engine = self.office.engine()
         gateway = self.office.gateway()
         up = next(iter(gateway.registry.serving()))
@@ -144,7 +144,7 @@
         self._begin(0)
         await self.office.clock.advance(10)
         engine.backoff = "0.4"
-        gateway.signals.hear(up.instance, engine.signals(503), 0, succeeded=False)
+        gateway.signals.observe(up.instance, engine.signals(503), 0, succeeded=False)
         asked_ms = self.office.clock.now_ms()
         engine.backoff = None
         await self.office.clock.advance(2_000)
@@ -152,7 +152,7 @@
         self.assertGreaterEqual(engine.arrivals[-1], asked_ms + 400)
         self.assertEqual(self.refusals, [])
 
-    # Guards against a process that is new under a name and gets no work for what another said.
+    # Guards against applying the signals of an earlier process to its successor of the same name.
     async def test_a_restarted_engine_gets_work(self) -> None:
         await self.office.start(gateways=2, engines=1)
         await self._load(400)
@@ -164,4 +164,4 @@
         await self._load(3_000)
         self.served = self.asked = 0
         await self._load(2_000)
-        self.assertGreaterEqual(self.served, SERVED * self.asked - 5)
+        self.assertGreaterEqual(self.served, MIN_SERVED * self.asked - 5)
--- a/chestnutfall/tests/test_backoff_parts.py
+++ b/chestnutfall/tests/test_backoff_parts.py
@@ -1,4 +1,4 @@
-"""What a gateway remembers of upstreams that want no work, and what a leader makes of it."""
+"""Backoffs as gateways know them, as the leader keeps them, and as callers see them."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from ..placement.placer import Placer
 from ..settings.repeat_bounds import RepeatBounds
 from ..signals import AskedBackoff, UnreadableBackoff, UpstreamSignals
-from ..signals.backoff_book import MOST_ABSENT, BackoffBook
-from ..signals.known_backoffs import MOST_BACKOFFS
+from ..signals.backoff_registry import MAX_ABSENT_UPSTREAMS, BackoffRegistry
+from ..signals.known_backoffs import MAX_BACKOFFS
 from ..signals.messages import BackoffHints, HeardBackoff
-from ..signals.return_spread import LEAVING_RETRY_MS, MOST_RETRY_MS, ReturnSpread
+from ..signals.retry_spread import LEAVING_RETRY_MS, MAX_RETRY_MS, RetrySpread
 from ..signals.upstream_backoff import PROBE_MS, RAMP_MS, RAMP_STEPS, UpstreamBackoff
 from .fakes.limit_parts import known_signals
 
@@ -35,15 +35,15 @@
 class KnownBackoffsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = ManualClock(1_000)
-        self.told: list[HeardBackoff] = []
-        self.signals = known_signals(self.clock, self.told)
+        self.reports: list[HeardBackoff] = []
+        self.signals = known_signals(self.clock, self.reports)
         self.known = self.signals.backoffs
 
     def _pass_ms(self, ms: int) -> None:
         self.clock._now_ms += ms
 
     def test_it_holds_until_its_end_and_no_longer(self) -> None:
-        self.known.hear("i", _asks(300))
+        self.known.observe("i", _asks(300))
         self.assertFalse(self.signals.may_send("i"))
         self.assertTrue(self.signals.may_send("j"))
         self._pass_ms(299)
@@ -51,77 +51,79 @@
         self._pass_ms(1)
         self.assertTrue(self.signals.may_send("i"))
 
-    # Guards against answers that overtake each other.
+    # Guards against a shorter backoff replacing a longer one, as answers arrive in any order.
     @given(st.lists(st.tuples(st.integers(0, 500), st.integers(0, 2_000)), max_size=20))
     def test_the_last_end_of_all_times_holds(self, steps: list[tuple[int, int]]) -> None:
         clock = ManualClock()
         signals = known_signals(clock)
         last_ms = 0
         for wait_ms, ms in steps:
-            signals.backoffs.hear("i", _asks(ms))
+            signals.backoffs.observe("i", _asks(ms))
             last_ms = max(last_ms, clock.now_ms() + ms)
             clock._now_ms += wait_ms
             self.assertEqual(signals.may_send("i"), clock.now_ms() >= last_ms)
 
-    # Guards against an upstream that leaves and is sent work when a shorter time is over.
+    # Guards against sends to a leaving upstream after an earlier, shorter backoff ended.
     def test_leaving_never_ends(self) -> None:
-        self.known.hear("i", LEAVING)
-        self.known.hear("i", _asks(10))
-        self.known.hear("i", UpstreamSignals())
+        self.known.observe("i", LEAVING)
+        self.known.observe("i", _asks(10))
+        self.known.observe("i", UpstreamSignals())
         self._pass_ms(10_000_000)
         self.assertFalse(self.signals.may_send("i"))
-        self.assertEqual(self.known.again(), (HeardBackoff("i", None),))
+        self.assertEqual(self.known.reports_for_new_leader(), (HeardBackoff("i", None),))
 
-    def test_each_word_is_told_once_and_again_to_who_begins(self) -> None:
+    def test_each_backoff_is_reported_once_and_again_to_a_new_leader(self) -> None:
         for ms in (500, 200, 500, 900):
-            self.known.hear("i", _asks(ms))
-        self.known.hear("j", LEAVING)
-        self.known.hear("j", LEAVING)
+            self.known.observe("i", _asks(ms))
+        self.known.observe("j", LEAVING)
+        self.known.observe("j", LEAVING)
         self.assertEqual(
-            self.told,
+            self.reports,
             [HeardBackoff("i", 500), HeardBackoff("i", 900), HeardBackoff("j", None)],
         )
         self._pass_ms(400)
-        self.assertEqual(self.known.again(), (HeardBackoff("i", 500), HeardBackoff("j", None)))
+        self.assertEqual(
+            self.known.reports_for_new_leader(), (HeardBackoff("i", 500), HeardBackoff("j", None))
+        )
         self._pass_ms(500)
-        self.assertEqual(self.known.again(), (HeardBackoff("j", None),))
+        self.assertEqual(self.known.reports_for_new_leader(), (HeardBackoff("j", None),))
 
-    # Guards against logs that an upstream fills with what it sends.
+    # Guards against an upstream that fills the logs with unreadable headers.
     def test_what_is_unreadable_is_logged_once(self) -> None:
         with self.assertLogs(level="WARNING") as logs:
             for _ in range(5):
-                self.known.hear("i", UpstreamSignals(backoff=UnreadableBackoff("soon")))
+                self.known.observe("i", UpstreamSignals(backoff=UnreadableBackoff("soon")))
         self.assertEqual(len(logs.output), 1)
         self.assertTrue(self.signals.may_send("i"))
 
-    # Guards against memory that grows with every incarnation that ever left.
+    # Guards against memory that grows with every incarnation that left.
     def test_memory_is_bounded(self) -> None:
-        for number in range(MOST_BACKOFFS + 500):
-            self.known.hear(f"i{number}", LEAVING)
-            self.known.take_hints(BackoffHints((HeardBackoff(f"h{number}", None),)))
-        self.assertEqual(len(self.known), MOST_BACKOFFS)
+        for number in range(MAX_BACKOFFS + 500):
+            self.known.observe(f"i{number}", LEAVING)
+            self.known.apply_hints(BackoffHints((HeardBackoff(f"h{number}", None),)))
+        self.assertEqual(len(self.known), MAX_BACKOFFS)
         self.assertTrue(self.signals.may_send("i0"))
-        self.assertFalse(self.signals.may_send(f"i{MOST_BACKOFFS + 499}"))
-        self.assertFalse(self.known.is_doubtful("h0"))
+        self.assertFalse(self.signals.may_send(f"i{MAX_BACKOFFS + 499}"))
+        self.assertFalse(self.known.probably_rejects("h0"))
 
     def test_the_time_until_the_first_of_several_takes_work(self) -> None:
-        self.known.hear("i", _asks(700))
-        self.known.hear("j", LEAVING)
+        self.known.observe("i", _asks(700))
+        self.known.observe("j", LEAVING)
         self.assertEqual(self.signals.held_back_ms(["i", "j"]), 700)
         self.assertEqual(self.signals.held_back_ms(["j"]), math.inf)
         self.assertEqual(self.signals.held_back_ms(["i", "k"]), 0)
         self.assertEqual(self.signals.held_back_ms([]), 0)
 
-    # Guards against an upstream that asked one gateway for time and is shunned by all.
+    # Guards against all gateways avoiding an upstream that asked only one for a backoff.
     def test_a_success_ends_what_others_were_asked_but_not_what_this_one_was(self) -> None:
-        self.known.take_hints(BackoffHints((HeardBackoff("i", 500), HeardBackoff("j", None))))
-        self.known.hear("k", _asks(500))
-        self.assertTrue(self.known.is_doubtful("i"))
+        self.known.apply_hints(BackoffHints((HeardBackoff("i", 500), HeardBackoff("j", None))))
+        self.known.observe("k", _asks(500))
+        self.assertTrue(self.known.probably_rejects("i"))
         self.assertTrue(self.signals.may_send("i"))
         for instance in ("i", "j", "k"):
-            self.signals.hear(instance, UpstreamSignals(), 900, succeeded=True)
-        self.assertFalse(self.known.is_doubtful("i"))
-        self.assertTrue(self.known.is_doubtful("j"))
+            self.signals.observe(instance, UpstreamSignals(), 900, succeeded=True)
+        self.assertFalse(self.known.probably_rejects("i"))
+        self.assertTrue(self.known.probably_rejects("j"))
         self.assertFalse(self.signals.may_send("k"))
 
 
@@ -130,27 +132,27 @@
         self.backoff = UpstreamBackoff()
 
     def test_who_was_asked_waits_and_others_try_now_and_then(self) -> None:
-        self.assertTrue(self.backoff.hear("g1", 2_000, 1_000))
+        self.assertTrue(self.backoff.update("g1", 2_000, 1_000))
         self.assertEqual(self.backoff.wait_ms("g1", 1_400), 600)
         self.assertEqual(self.backoff.wait_ms("g2", 1_000), PROBE_MS)
         self.assertEqual(self.backoff.wait_ms("g2", 1_000 + PROBE_MS), 0)
         self.backoff.note_sent("g2/1", 1_000 + PROBE_MS)
         self.assertEqual(self.backoff.wait_ms("g3", 1_000 + PROBE_MS), PROBE_MS)
 
-    # Guards against an upstream that turned one gateway away and is shunned by all.
+    # Guards against all gateways avoiding an upstream that rejected only one.
     def test_a_try_that_is_served_frees_the_others(self) -> None:
-        self.backoff.hear("g1", 9_000, 1_000)
+        self.backoff.update("g1", 9_000, 1_000)
         self.backoff.note_sent("g2/1", 1_400)
         self.backoff.served("g3/7")
-        self.assertTrue(self.backoff.is_doubtful(1_500))
+        self.assertTrue(self.backoff.probably_rejects(1_500))
         self.backoff.served("g2/1")
-        self.assertFalse(self.backoff.is_doubtful(1_500))
+        self.assertFalse(self.backoff.probably_rejects(1_500))
         self.assertEqual(self.backoff.wait_ms("g2", 1_500), 0)
         self.assertEqual(self.backoff.wait_ms("g1", 1_500), 7_500)
 
-    # Guards against all gateways' callers that come back in one moment.
+    # Guards against the calls of all gateways arriving at once when the backoff ends.
     def test_what_it_may_be_sent_doubles_when_its_time_is_over(self) -> None:
-        self.backoff.hear("g1", 2_000, 1_000)
+        self.backoff.update("g1", 2_000, 1_000)
         sent = []
         for now_ms in range(2_000, 2_000 + RAMP_MS * RAMP_STEPS):
             while not self.backoff.wait_ms("g2", now_ms) and len(sent) < 200:
@@ -163,35 +165,35 @@
         self.assertEqual(self.backoff.wait_ms("g2", 2_000 + RAMP_MS * RAMP_STEPS), 0)
 
     def test_one_that_leaves_is_never_free_again(self) -> None:
-        self.backoff.hear("g1", math.inf, 1_000)
+        self.backoff.update("g1", math.inf, 1_000)
         self.backoff.note_sent("g2/1", 1_400)
         self.backoff.served("g2/1")
-        self.assertTrue(self.backoff.is_doubtful(10**9))
-        self.assertEqual(self.backoff.back_ms("g2", 10**9), math.inf)
+        self.assertTrue(self.backoff.probably_rejects(10**9))
+        self.assertEqual(self.backoff.unavailable_ms("g2", 10**9), math.inf)
         self.assertEqual(self.backoff.wait_ms("g1", 10**9), math.inf)
 
-    def test_a_word_that_says_nothing_new_is_no_news(self) -> None:
-        self.assertFalse(self.backoff.hear("g1", 1_000, 1_000))
-        self.assertTrue(self.backoff.hear("g1", 2_000, 1_000))
-        self.assertFalse(self.backoff.hear("g1", 1_500, 1_000))
-        self.assertFalse(self.backoff.hear("g2", 1_900, 1_000))
-        self.assertTrue(self.backoff.hear("g2", 2_100, 1_000))
-        self.backoff.forget("g2")
+    def test_a_report_without_a_later_end_needs_no_hint(self) -> None:
+        self.assertFalse(self.backoff.update("g1", 1_000, 1_000))
+        self.assertTrue(self.backoff.update("g1", 2_000, 1_000))
+        self.assertFalse(self.backoff.update("g1", 1_500, 1_000))
+        self.assertFalse(self.backoff.update("g2", 1_900, 1_000))
+        self.assertTrue(self.backoff.update("g2", 2_100, 1_000))
+        self.backoff.forget_gateway("g2")
         self.assertEqual(self.backoff.wait_ms("g2", 1_000 + PROBE_MS), 0)
 
     def test_one_that_asked_for_nothing_is_free(self) -> None:
         self.assertEqual(self.backoff.wait_ms("g", 0), 0)
-        self.assertEqual(self.backoff.back_ms("g", 0), 0)
+        self.assertEqual(self.backoff.unavailable_ms("g", 0), 0)
 
 
 class BackoffDeskTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = ManualClock(60_000)
-        self.book = BackoffBook(self.clock)
+        self.registry = BackoffRegistry(self.clock)
         self.sessions = GatewaySessions()
-        placer = Placer(self.clock, backoffs=self.book)
-        self.desk = BackoffDesk(self.book, placer, self.sessions, self.clock)
-        self.hearing, self.other = self._join("g1"), self._join("g2")
+        placer = Placer(self.clock, backoffs=self.registry)
+        self.desk = BackoffDesk(self.registry, placer, self.sessions, self.clock)
+        self.reporting, self.other = self._join("g1"), self._join("g2")
 
     def _join(self, name: str) -> GatewaySession:
         session = GatewaySession(name)
@@ -199,59 +201,61 @@
         self.desk.greet(session)
         return session
 
-    def _out(self, session: GatewaySession) -> list[object]:
+    def _received(self, session: GatewaySession) -> list[object]:
         return [session.out.get_nowait() for _ in range(session.out.qsize())]
 
     def test_all_are_told_at_once_and_then_ten_times_a_second(self) -> None:
-        self.desk.hear(self.hearing, HeardBackoff("p", 3_000))
+        self.desk.hear(self.reporting, HeardBackoff("p", 3_000))
         self.desk.carry_out()
-        self.assertEqual(self._out(self.other), [BackoffHints((HeardBackoff("p", 3_000),))])
+        self.assertEqual(self._received(self.other), [BackoffHints((HeardBackoff("p", 3_000),))])
         for left_ms in (3_500, 4_000):
-            self.desk.hear(self.hearing, HeardBackoff("p", left_ms))
+            self.desk.hear(self.reporting, HeardBackoff("p", left_ms))
             self.desk.carry_out()
-        self.assertEqual(self._out(self.other), [])
+        self.assertEqual(self._received(self.other), [])
         self.clock._now_ms += TELL_MS
         self.desk.carry_out()
-        self.assertEqual(len(self._out(self.other)), 1)
+        self.assertEqual(len(self._received(self.other)), 1)
 
     def test_one_that_joins_is_told_what_holds(self) -> None:
-        self.desk.hear(self.hearing, HeardBackoff("p", 3_000))
-        self.desk.hear(self.hearing, HeardBackoff("q", None))
+        self.desk.hear(self.reporting, HeardBackoff("p", 3_000))
+        self.desk.hear(self.reporting, HeardBackoff("q", None))
         self.clock._now_ms += 1_000
         hints = BackoffHints((HeardBackoff("p", 2_000), HeardBackoff("q", None)))
-        self.assertEqual(self._out(self._join("g3")), [hints])
+        self.assertEqual(self._received(self._join("g3")), [hints])
         self.clock._now_ms += 2_000
-        self.assertEqual(self._out(self._join("g4")), [BackoffHints((HeardBackoff("q", None),))])
+        self.assertEqual(
+            self._received(self._join("g4")), [BackoffHints((HeardBackoff("q", None),))]
+        )
 
-    # Guards against thousands of hints to hundreds of gateways at once.
+    # Guards against thousands of hints at once to hundreds of gateways.
     def test_one_message_is_bounded(self) -> None:
         for number in range(1_000):
-            self.desk.hear(self.hearing, HeardBackoff(f"p{number}", 3_000))
+            self.desk.hear(self.reporting, HeardBackoff(f"p{number}", 3_000))
         self.desk.carry_out()
-        (msg,) = self._out(self.other)
+        (msg,) = self._received(self.other)
         self.assertEqual(len(getattr(msg, "hints", ())), MOST_TOLD)
 
-    # Guards against memory that grows with every incarnation that ever left.
+    # Guards against memory that grows with every incarnation that left.
     def test_upstreams_that_are_gone_are_forgotten_but_for_the_last(self) -> None:
-        for number in range(MOST_ABSENT + 500):
-            self.desk.hear(self.hearing, HeardBackoff(f"p{number}", None))
+        for number in range(MAX_ABSENT_UPSTREAMS + 500):
+            self.desk.hear(self.reporting, HeardBackoff(f"p{number}", None))
         self.desk.use([UpstreamRecord("p0", "s", "1:1", "dc")])
-        self.assertEqual(len(list(self.book.doubtful())), MOST_ABSENT + 1)
+        self.assertEqual(len(list(self.registry.active_hints())), MAX_ABSENT_UPSTREAMS + 1)
 
     def test_a_gateway_that_is_gone_is_forgotten(self) -> None:
-        self.desk.hear(self.hearing, HeardBackoff("p", 3_000))
+        self.desk.hear(self.reporting, HeardBackoff("p", 3_000))
         self.clock._now_ms += PROBE_MS
-        self.assertFalse(self.book.may_send("g1", "p"))
-        self.desk.part(self.hearing)
-        self.assertTrue(self.book.may_send("g1", "p"))
+        self.assertFalse(self.registry.may_send("g1", "p"))
+        self.desk.part(self.reporting)
+        self.assertTrue(self.registry.may_send("g1", "p"))
 
 
-class ReturnSpreadTest(unittest.TestCase):
+class RetrySpreadTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = ManualClock(1_000)
-        self.spread = ReturnSpread(self.clock)
+        self.spread = RetrySpread(self.clock)
 
-    # Guards against all callers who come back in the moment at which the time is over.
+    # Guards against callers that all retry at the moment at which the backoff ends.
     def test_they_come_back_as_they_came_and_not_before(self) -> None:
         back_ms = []
         for _ in range(200):
@@ -269,12 +273,12 @@
             self.clock._now_ms += 1
 
     def test_a_day_and_upstreams_that_leave_have_a_time_as_well(self) -> None:
-        self.assertEqual(self.spread.wait_ms("s", 86_400_000), MOST_RETRY_MS)
+        self.assertEqual(self.spread.wait_ms("s", 86_400_000), MAX_RETRY_MS)
         self.assertEqual(self.spread.wait_ms("t", math.inf), LEAVING_RETRY_MS)
 
 
 class UnusedRepeatTest(unittest.IsolatedAsyncioTestCase):
-    # Guards against repeats that are spent though nothing was sent.
+    # Guards against spending repeats although nothing was sent.
     async def test_a_repeat_that_was_not_sent_is_there_for_the_next_call(self) -> None:
         clock = ManualClock()
 
--- a/chestnutfall/tests/test_backoff_together.py
+++ b/chestnutfall/tests/test_backoff_together.py
@@ -1,8 +1,8 @@
-"""Upstreams that ask for time, before gateways and their leader together.
+"""Upstreams that ask for backoffs, with several gateways and their leader.
 
-An upstream in need turns a request away and says for how long it wants nothing more from that
-gateway. Symptom where that is not obeyed: it gets the next request at once, from each gateway, and
-callers are refused for want of repeats while other upstreams stand idle.
+An overloaded upstream rejects a request and asks the gateway for no requests for some time. If
+gateways ignore that, the upstream gets the next request at once from each of them, and calls are
+refused because the budget of repeats is spent, while other upstreams are idle.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 import unittest
 from collections import Counter
 
-from .fakes.named_upstream import ENGINES, PLAIN
 from .fakes.placing_office import STEP_MS
 from .fakes.signal_office import ONCE, SignalOffice
+from .fakes.signalling_upstream import ENGINES, PLAIN
 
 RATES = {ENGINES: 60.0, PLAIN: 60.0}
-SERVED = 0.98
+MIN_SERVED = 0.98
 AT_ONCE_MS = 5 * STEP_MS
-"""A refusal goes to the leader and back, and waits for its next look."""
-FEW = 0.03
-"""Part of the calls that may meet an upstream that turns them away, while others are idle."""
+"""Bound for an immediate refusal: a round trip to the leader and a wait for its next step."""
+MAX_REJECTED_FRACTION = 0.03
+"""Fraction of calls that may be rejected by an upstream while others are idle."""
 
 
 class BackoffTogetherTest(unittest.IsolatedAsyncioTestCase):
@@ -29,21 +29,21 @@
         return office
 
     def _ask(self, office: SignalOffice, text: str | None, *instances: str) -> int:
-        """Let upstreams turn all away from now on; the present time."""
+        """Make upstreams reject all requests from now on; return the clock time."""
         for instance in instances or tuple(office.upstreams):
             office.upstreams[instance].backoff = text
         return office.clock.now_ms()
 
-    def _turned_away(self, office: SignalOffice) -> int:
-        return sum(len(one.asked) for one in office.upstreams.values())
+    def _rejected(self, office: SignalOffice) -> int:
+        return sum(len(one.backoff_requests) for one in office.upstreams.values())
 
-    def _check(self, office: SignalOffice, from_ms: int, least: float = SERVED) -> None:
-        self.assertEqual(office.disobeyed(), [])
-        self.assertGreater(self._turned_away(office), 0)
+    def _check(self, office: SignalOffice, from_ms: int, least: float = MIN_SERVED) -> None:
+        self.assertEqual(office.violations(), [])
+        self.assertGreater(self._rejected(office), 0)
         for service in RATES:
             self.assertGreaterEqual(office.served(service, from_ms), least)
 
-    # Guards against upstreams that ask for time and get the next request, however many gateways.
+    # Guards against gateways, whatever their number, that ignore a backoff.
     async def test_any_number_of_gateways_leaves_one_in_peace_and_callers_lose_nothing(
         self,
     ) -> None:
@@ -55,7 +55,7 @@
                 await office.play(5_500, RATES)
                 self._check(office, from_ms)
                 asked = len(office.of(ENGINES, from_ms)) + len(office.of(PLAIN, from_ms))
-                self.assertLessEqual(self._turned_away(office), FEW * asked)
+                self.assertLessEqual(self._rejected(office), MAX_REJECTED_FRACTION * asked)
 
     async def test_several_of_a_service_ask_for_time(self) -> None:
         office = self._office(9, engines=5, plain=5)
@@ -65,14 +65,14 @@
         await office.play(4_000, RATES)
         self._check(office, from_ms)
 
-    # Guards against callers who wait for their deadline, or all come back in one moment.
+    # Guards against callers that wait until their deadline, or all retry at one moment.
     async def test_where_all_ask_for_time_callers_are_told_at_once_when_to_come_back(self) -> None:
         office = self._office(9)
         await office.play(500, RATES)
         from_ms = self._ask(office, "3")
         await office.play(1_500, RATES)
         known_ms = from_ms + 700
-        self.assertEqual(office.disobeyed(), [])
+        self.assertEqual(office.violations(), [])
         for service in RATES:
             refused = office.of(service, known_ms)
             self.assertEqual({one.reason for one in refused}, {"backing_off"})
@@ -93,25 +93,25 @@
         await office.play(4_400, RATES)
         over_ms = from_ms + 300 + 2_000
         self._check(office, over_ms + 100, 0.99)
-        # Nobody is shunned afterwards: each upstream gets its part again.
+        # Afterwards no upstream is avoided: each gets its share again.
         for upstream in office.upstreams.values():
             moments = [at_ms for at_ms, _ in upstream.arrivals]
             before = sum(at_ms < from_ms for at_ms in moments)
             after = sum(over_ms + 400 <= at_ms < over_ms + 2_400 for at_ms in moments)
             self.assertGreaterEqual(after, 0.5 * before)
 
-    # Guards against all gateways that come back to an upstream in the moment its time is over.
+    # Guards against all gateways sending to an upstream at the moment its backoff ends.
     async def test_the_end_of_the_time_is_tried_before_all_come_back(self) -> None:
         office = self._office(91, engines=2)
         await office.play(500, {ENGINES: 200.0})
         self._ask(office, "1", f"{ENGINES}-0")
         await office.play(6_000, {ENGINES: 200.0})
-        self.assertEqual(office.disobeyed(), [])
+        self.assertEqual(office.violations(), [])
         arrivals = office.upstreams[f"{ENGINES}-0"].arrivals
         moments = Counter(at_ms // 100 for at_ms, _ in arrivals if at_ms > 61_000)
         self.assertLessEqual(max(moments.values(), default=0), 8)
 
-    # Guards against time that is asked for as it should not be, and against none.
+    # Guards against malformed or zero backoffs that hold calls back.
     async def test_what_is_no_time_holds_nobody_back(self) -> None:
         for text in ("0", "soon", "-3", "nan", ""):
             with self.subTest(text):
@@ -122,7 +122,7 @@
                 from_ms = office.clock.now_ms()
                 await office.play(800, RATES)
                 for service in RATES:
-                    self.assertGreaterEqual(office.served(service, from_ms), SERVED)
+                    self.assertGreaterEqual(office.served(service, from_ms), MIN_SERVED)
 
     async def test_decimals_of_a_second_and_a_day_are_kept(self) -> None:
         for text, ms in (("0.4", 400), ("86400", 86_400_000)):
@@ -133,16 +133,20 @@
                 await office.play(3_000, RATES)
                 self._check(office, from_ms, 0.9)
                 self.assertEqual(
-                    {asked.for_ms for one in office.upstreams.values() for asked in one.asked},
+                    {
+                        asked.for_ms
+                        for one in office.upstreams.values()
+                        for asked in one.backoff_requests
+                    },
                     {ms},
                 )
 
-    # Guards against refusals that prove nothing and are taken for an upstream's failure.
+    # Guards against taking rejections without a proof that nothing ran for failures.
     async def test_refusals_without_proof_ask_for_time_as_well(self) -> None:
         office = self._office(3)
         await office.play(500, RATES)
         for one in (f"{ENGINES}-0", f"{PLAIN}-0"):
-            office.upstreams[one].proves = False
+            office.upstreams[one].proves_not_run = False
         from_ms = self._ask(office, "1", f"{ENGINES}-0", f"{PLAIN}-0")
         await office.play(3_000, RATES)
         self._check(office, from_ms)
@@ -151,43 +155,43 @@
         office = self._office(3)
         await office.play(500, RATES)
         for one in (f"{ENGINES}-0", f"{PLAIN}-0"):
-            office.upstreams[one].turns_away_with = 429
+            office.upstreams[one].rejection_status = 429
         from_ms = self._ask(office, "1", f"{ENGINES}-0", f"{PLAIN}-0")
         await office.play(3_000, RATES)
         self._check(office, from_ms)
 
-    # Guards against a call that is sent twice since its first upstream only asked for time.
+    # Guards against repeating a non-idempotent call that the first upstream may have run.
     async def test_a_call_that_may_not_be_repeated_goes_on_only_after_a_proof(self) -> None:
         for proves in (True, False):
             with self.subTest(proves=proves):
                 office = self._office(1, plain=2)
-                office.upstreams[f"{PLAIN}-0"].proves = proves
+                office.upstreams[f"{PLAIN}-0"].proves_not_run = proves
                 self._ask(office, "5", f"{PLAIN}-0")
                 for _ in range(6):
                     office.call(ONCE, "g0")
                     await office.play(100, {})
                 arrived = sum(len(one.arrivals) for one in office.upstreams.values())
-                served = sum(one.status == 200 for one in office.ended)
-                self.assertEqual(arrived, len(office.ended) + proves)
-                self.assertEqual(served, len(office.ended) - (not proves))
-                self.assertEqual(office.disobeyed(), [])
+                served = sum(one.status == 200 for one in office.finished)
+                self.assertEqual(arrived, len(office.finished) + proves)
+                self.assertEqual(served, len(office.finished) - (not proves))
+                self.assertEqual(office.violations(), [])
 
-    # Guards against repeats that are spent where no upstream takes them.
+    # Guards against spending repeats while no upstream accepts them.
     async def test_repeats_that_cannot_help_are_not_spent(self) -> None:
         office = self._office(1, engines=2, plain=2)
         await office.play(200, RATES)
         self._ask(office, "30")
         await office.play(4_000, RATES)
         for upstream in office.upstreams.values():
-            self.assertEqual(len(upstream.asked), 1)
+            self.assertEqual(len(upstream.backoff_requests), 1)
         self._ask(office, None, f"{PLAIN}-0")
         office.replace(f"{PLAIN}-0", f"{PLAIN}-new").backoff = None
         from_ms = office.clock.now_ms()
         await office.play(1_000, {PLAIN: 60.0})
-        self.assertGreaterEqual(office.served(PLAIN, from_ms), SERVED)
+        self.assertGreaterEqual(office.served(PLAIN, from_ms), MIN_SERVED)
         self.assertNotIn("repeats_over_budget", office.metrics.text())
 
-    # Guards against a call that is refused since its first choices asked for time one by one.
+    # Guards against refusing a call because its first choices asked for backoffs one by one.
     async def test_one_call_meets_several_that_ask_for_time(self) -> None:
         office = self._office(1, engines=5, plain=5)
         names = [f"{service}-{at}" for service in RATES for at in range(4)]
@@ -195,20 +199,20 @@
         for service in (ENGINES, PLAIN, ENGINES, PLAIN):
             office.call(service, "g0")
         await office.play(600, {})
-        self.assertEqual([one.status for one in office.ended], [200] * 4)
-        self.assertEqual(office.disobeyed(), [])
+        self.assertEqual([one.status for one in office.finished], [200] * 4)
+        self.assertEqual(office.violations(), [])
 
-    # Guards against places given before an upstream asked for time, and used after it.
+    # Guards against using a place that was granted before its upstream asked for a backoff.
     async def test_calls_that_wait_for_a_load_are_placed_anew(self) -> None:
         office = self._office(2, engines=2)
         office.adapters = [f"b{at}" for at in range(20)]
         await office.play(3_000, {ENGINES: 20.0})
         from_ms = self._ask(office, "2", f"{ENGINES}-0")
         await office.play(2_500, {ENGINES: 20.0})
-        self.assertEqual(office.disobeyed(), [])
+        self.assertEqual(office.violations(), [])
         self.assertGreaterEqual(office.served(ENGINES, from_ms), 0.95)
 
-    # Guards against callers of an adapter whose only holder asked for time.
+    # Guards against holding back callers of an adapter whose only holder asked for a backoff.
     async def test_adapters_of_one_that_asks_for_time_are_loaded_elsewhere_at_once(self) -> None:
         office = self._office(3, engines=2)
         for name, upstream in office.upstreams.items():
@@ -219,12 +223,12 @@
         await office.play(300, {ENGINES: 30.0})
         from_ms = self._ask(office, "10", f"{ENGINES}-0")
         await office.play(2_000, {ENGINES: 30.0})
-        self.assertEqual(office.disobeyed(), [])
+        self.assertEqual(office.violations(), [])
         found = office.of(ENGINES, from_ms)
-        self.assertGreaterEqual(office.served(ENGINES, from_ms), SERVED)
+        self.assertGreaterEqual(office.served(ENGINES, from_ms), MIN_SERVED)
         self.assertLess(max(one.took_ms for one in found), 500)
 
-    # Guards against answers that overtake each other, and a shorter time after a longer one.
+    # Guards against a shorter backoff replacing a longer one, as answers arrive in any order.
     async def test_of_several_times_asked_for_the_last_end_holds(self) -> None:
         office = self._office(1, engines=2, plain=2)
         await office.play(200, RATES)
@@ -237,7 +241,7 @@
         await office.play(3_500, RATES)
         self._check(office, office.clock.now_ms() - 3_000)
 
-    # Guards against a new leader that places calls where an old one knew better.
+    # Guards against a new leader that does not know the backoffs that its predecessor knew.
     async def test_leaders_that_change_meanwhile(self) -> None:
         for changes in (1, 4):
             with self.subTest(changes=changes):
@@ -251,7 +255,7 @@
                 await office.play(2_000, RATES)
                 self._check(office, from_ms)
 
-    # Guards against a gateway that forgets what it was asked while it has no leader.
+    # Guards against a gateway that ignores backoffs while it has no leader.
     async def test_without_a_leader_each_gateway_keeps_to_it(self) -> None:
         office = self._office(3)
         await office.play(500, RATES)
@@ -261,8 +265,8 @@
         self._check(office, from_ms)
         self._ask(office, "2")
         await office.play(1_000, RATES)
-        self.assertEqual(office.disobeyed(), [])
-        late = [one for one in office.ended if one.sent_ms > office.clock.now_ms() - 500]
+        self.assertEqual(office.violations(), [])
+        late = [one for one in office.finished if one.sent_ms > office.clock.now_ms() - 500]
         self.assertEqual({one.reason for one in late if one.status != 200}, {"backing_off"})
         self.assertLess(max(one.took_ms for one in late if one.status != 200), AT_ONCE_MS)
 
@@ -274,7 +278,7 @@
         await office.play(2_500, RATES)
         self._check(office, from_ms)
 
-    # Guards against one that knows nothing after its restart and harms more than once.
+    # Guards against a restarted gateway that sends more than one request during a backoff.
     async def test_gateways_that_restart_find_out_by_one_request(self) -> None:
         office = self._office(4)
         await office.play(500, RATES)
@@ -284,13 +288,14 @@
             office.restart(f"g{at}")
         await office.play(1_500, RATES)
         for service in RATES:
-            self.assertGreaterEqual(office.served(service, from_ms), SERVED)
+            self.assertGreaterEqual(office.served(service, from_ms), MIN_SERVED)
         for upstream in office.upstreams.values():
-            # Two lives of a gateway ask once each, and once more if two calls crossed.
-            by = Counter(asked.gateway for asked in upstream.asked)
+            # Each of a gateway's two incarnations sends once, and once more if two calls are in
+            # flight together.
+            by = Counter(asked.gateway for asked in upstream.backoff_requests)
             self.assertLessEqual(max(by.values(), default=0), 4)
 
-    # Guards against a frozen gateway that uses places it was given long ago.
+    # Guards against a frozen gateway that later uses places that were granted long ago.
     async def test_a_gateway_that_was_frozen_keeps_to_it_with_places_in_hand(self) -> None:
         office = self._office(2)
         await office.play(500, RATES)
@@ -299,9 +304,9 @@
         await office.play(600, RATES)
         office.gateways["g0"].frozen = False
         await office.play(1_500, RATES)
-        self.assertEqual(office.disobeyed(), [])
+        self.assertEqual(office.violations(), [])
 
-    # Guards against a process that is new at an address and gets no work for what another said.
+    # Guards against applying an upstream's signals to its successor at the same address.
     async def test_a_successor_at_the_same_address_does_not_inherit_it(self) -> None:
         office = self._office(3, engines=2, plain=2)
         await office.play(500, RATES)
@@ -314,7 +319,7 @@
             arrivals = office.upstreams[f"{service}-new"].arrivals
             self.assertGreater(len(arrivals), 20)
 
-    # Guards against one word that is forgotten over another.
+    # Guards against losing one kind of signal when another arrives.
     async def test_beside_limits(self) -> None:
         office = self._office(9)
         await office.play(500, RATES)
@@ -330,7 +335,7 @@
             self.assertLessEqual(len(late), 1.5 * 10 * 4 + 5)
             self.assertGreater(len(late), 10)
 
-    # Guards against an organisation that takes what upstreams that ask for time left.
+    # Guards against one organisation using all capacity that is left during backoffs.
     async def test_organisations_share_what_is_left(self) -> None:
         office = self._office(3, engines=3)
         await office.play(500, {ENGINES: 30.0}, organisation="usual")
@@ -341,9 +346,9 @@
         found = office.of(ENGINES, from_ms + 500)
         usual = [one for one in found if one.organisation == "usual"]
         self.assertGreaterEqual(sum(one.status == 200 for one in usual), 0.9 * len(usual))
-        self.assertEqual(office.disobeyed(), [])
+        self.assertEqual(office.violations(), [])
 
-    # Guards against a leader's word of a limit that crosses with what a gateway was asked.
+    # Guards against a leader that grants sends to an upstream which asked that gateway to wait.
     async def test_turns_at_limited_upstreams_skip_who_was_asked_for_time(self) -> None:
         office = self._office(2, plain=2)
         await office.play(300, {PLAIN: 30.0})
@@ -352,7 +357,7 @@
         await office.play(1_000, {PLAIN: 30.0})
         self._ask(office, "3", f"{PLAIN}-0")
         await office.play(4_000, {PLAIN: 30.0})
-        self.assertEqual(office.disobeyed(), [])
-        self.assertGreater(len(office.upstreams[f"{PLAIN}-0"].asked), 0)
-        # A turn that can't be used is one that somebody else does not get.
+        self.assertEqual(office.violations(), [])
+        self.assertGreater(len(office.upstreams[f"{PLAIN}-0"].backoff_requests), 0)
+        # A granted send that can't be used is lost to other calls.
         self.assertNotIn("sends_held_back", office.metrics.text())
--- a/chestnutfall/tests/test_last_check.py
+++ b/chestnutfall/tests/test_last_check.py
@@ -28,7 +28,7 @@
 
     def _hear_words(self) -> None:
         for instance, word in self.words.items():
-            self.signals.hear(instance, word, 0, succeeded=False)
+            self.signals.observe(instance, word, 0, succeeded=False)
 
     def _sent_to(self, upstreams: ScriptedUpstreams) -> list[str]:
         return [one.upstream.instance for one in upstreams.sends]
--- a/chestnutfall/tests/test_limit_desk.py
+++ b/chestnutfall/tests/test_limit_desk.py
@@ -12,7 +12,7 @@
 from ..limits.limit_registry import LimitRegistry
 from ..limits.messages import HeardLimit, LimitsInForce, RequestLimit
 from ..placement.placer import Placer
-from ..signals.backoff_book import BackoffBook
+from ..signals.backoff_registry import BackoffRegistry
 
 
 class LimitDeskTest(unittest.TestCase):
@@ -21,7 +21,7 @@
         limits = LimitRegistry(self.clock)
         self.sessions = GatewaySessions()
         placer = Placer(self.clock, limits)
-        backoffs = BackoffBook(self.clock)
+        backoffs = BackoffRegistry(self.clock)
         self.desk = LimitDesk(limits, backoffs, placer, self.sessions, self.clock)
         self.desk.use(
             [UpstreamRecord("i", "s", "1:1", "dc"), UpstreamRecord("j", "s", "1:2", "dc")]
--- a/chestnutfall/tests/test_limit_parts.py
+++ b/chestnutfall/tests/test_limit_parts.py
@@ -130,7 +130,7 @@
     def test_upstreams_that_are_gone_are_forgotten_but_for_the_last(self) -> None:
         for at in range(2 * MAX_ABSENT_UPSTREAMS):
             self.registry.update(HeardLimit(f"i{at}", 3.0, 0), counts_sends=True)
-            self.registry.get_or_create(f"free{at}")
+            self.registry.ensure(f"free{at}")
         self.registry.forget_absent({"i0", "free0"})
         self.assertEqual(len(self.registry.in_force()), MAX_ABSENT_UPSTREAMS + 1)
         self.assertEqual(self.registry.declared_per_s("i0"), 3.0)
--- a/chestnutfall/tests/test_places.py
+++ b/chestnutfall/tests/test_places.py
@@ -99,7 +99,7 @@
         fleet.hold(ReadyAdapter("1", NAME, 3), ReadyAdapter("2", NAME, 3))
         signals = known_signals(self.clock)
         places = EnginePlaces(fleet, signals, self.clock, "g", "dc")
-        signals.hear("1", UpstreamSignals(leaving=True), 0, succeeded=True)
+        signals.observe("1", UpstreamSignals(leaving=True), 0, succeeded=True)
         taken = [await places.take(_wanted()) for _ in range(4)]
         self.assertEqual({one.upstream.instance for one in taken}, {"2"})
 
--- a/chestnutfall/tests/test_signals.py
+++ b/chestnutfall/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""What upstreams say of themselves, read strictly; what nobody reads is seen on the first day."""
+"""Strict parsing of upstream signals, and the detection of unknown headers."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     UpstreamLoad,
     read_signals,
 )
-from ..signals.backoff_word import MOST_BACKOFF_MS, MOST_TEXT, read_backoff
-from ..signals.unread_headers import MOST_CHARACTERS, MOST_NAMES
+from ..signals.backoff_signal import MAX_BACKOFF_MS, MAX_UNREADABLE_CHARS, read_backoff
+from ..signals.unread_headers import MAX_NAME_CHARS, MAX_NAMES
 
 NAMES = SignalHeaders("x-limit", "x-leaving", "x-load")
 DATE = "Thu, 03 Dec 2026 11:00:00 GMT"
@@ -52,24 +52,26 @@
             with self.subTest(text):
                 self.assertEqual(read_backoff(503, text, DATE), UnreadableBackoff(text))
 
-    # Guards against a moment read by our own clock, which may be set at any time.
+    # Guards against reading an HTTP date by the gateway's own clock, which may be adjusted.
     def test_a_moment_without_the_answer_s_own_date_is_unreadable(self) -> None:
-        self.assertEqual(read_backoff(503, DATE, None), UnreadableBackoff(DATE[:MOST_TEXT]))
+        self.assertEqual(
+            read_backoff(503, DATE, None), UnreadableBackoff(DATE[:MAX_UNREADABLE_CHARS])
+        )
 
-    # Guards against a slip of units that takes an upstream away for good.
+    # Guards against a mistaken unit that removes an upstream for good.
     def test_more_than_a_day_is_a_day(self) -> None:
         for text in ("86401", "1e12", "Fri, 31 Dec 9999 23:59:59 GMT"):
             with self.subTest(text):
-                self.assertEqual(read_backoff(503, text, DATE), AskedBackoff(MOST_BACKOFF_MS))
+                self.assertEqual(read_backoff(503, text, DATE), AskedBackoff(MAX_BACKOFF_MS))
 
-    # Guards against a header that breaks the call whose answer bears it.
+    # Guards against a header that fails the call in whose answer it is.
     @given(st.text(max_size=60), st.one_of(st.none(), st.text(max_size=40)))
     def test_any_text_is_read(self, text: str, date: str | None) -> None:
         match read_backoff(503, text, date):
             case AskedBackoff(ms):
-                self.assertTrue(0 <= ms <= MOST_BACKOFF_MS)
+                self.assertTrue(0 <= ms <= MAX_BACKOFF_MS)
             case UnreadableBackoff(kept):
-                self.assertLessEqual(len(kept), MOST_TEXT)
+                self.assertLessEqual(len(kept), MAX_UNREADABLE_CHARS)
             case NoBackoff():
                 self.fail("a header is there")
 
@@ -91,7 +93,7 @@
             with self.subTest(text):
                 self.assertFalse(read_signals(200, {"x-leaving": text}, NAMES).leaving)
 
-    # Guards against a load that is no load and breaks the call whose answer bears it.
+    # Guards against a malformed load that fails the call in whose answer it is.
     def test_a_malformed_load_is_none(self) -> None:
         for text in ("", "1,2", "1,2,3,4", "a,b,c", "-1,0,6", "1, 2, 3", "9" * 400 + ",1,1"):
             with self.subTest(text[:10]):
@@ -104,7 +106,7 @@
         self.counts: Counter[str] = Counter()
         self.unread = UnreadHeaders(("X-Known",), lambda name: self.counts.update([name]))
 
-    # Guards against a new word of upstreams that nobody notices.
+    # Guards against a new signal header of upstreams that the gateway ignores unnoticed.
     def test_a_header_that_nobody_reads_is_counted_and_logged_once_without_its_value(self) -> None:
         with self.assertLogs(level="WARNING") as logs:
             for _ in range(3):
@@ -114,12 +116,12 @@
         self.assertIn("x-new-word", logs.output[0])
         self.assertNotIn("secret", logs.output[0])
 
-    # Guards against memory, metrics and logs that an upstream fills by inventing names.
+    # Guards against an upstream that fills memory, metrics and logs with random header names.
     def test_names_are_bounded_in_number_and_length(self) -> None:
         with self.assertLogs(level="WARNING") as logs:
-            for number in range(10 * MOST_NAMES):
+            for number in range(10 * MAX_NAMES):
                 self.unread.note("drafts", [f"x-{number}-" + "y" * 500])
-        self.assertEqual(len(logs.output), MOST_NAMES)
-        self.assertEqual(len(self.counts), MOST_NAMES + 1)
-        self.assertEqual(self.counts["unread_header_others"], 9 * MOST_NAMES)
-        self.assertLessEqual(max(map(len, self.counts)), MOST_CHARACTERS + len("unread_header_"))
+        self.assertEqual(len(logs.output), MAX_NAMES)
+        self.assertEqual(len(self.counts), MAX_NAMES + 1)
+        self.assertEqual(self.counts["unread_header_others"], 9 * MAX_NAMES)
+        self.assertLessEqual(max(map(len, self.counts)), MAX_NAME_CHARS + len("unread_header_"))
--- a/properties/safeguards/signal_mutants.py
+++ b/properties/safeguards/signal_mutants.py
@@ -1,4 +1,4 @@
-"""Safeguards of what upstreams say of themselves: each path that sends, and what is made of it."""
+"""Mutants of the safeguards for upstream signals, at each path that sends and each use of them."""
 
 from __future__ import annotations
 
@@ -115,37 +115,38 @@
     Mutant(
         "upstreams that left are remembered for ever",
         "chestnutfall/signals/known_backoffs.py",
-        "    if len(held) > MOST_BACKOFFS:",
+        "    if len(held) > MAX_BACKOFFS:",
         "    if False:",
         f"{_PARTS}.KnownBackoffsTest.test_memory_is_bounded",
     ),
     Mutant(
         "any Retry-After is taken for a wish of the upstream",
-        "chestnutfall/signals/backoff_word.py",
-        "    if text is None or status not in TURNED_AWAY:",
+        "chestnutfall/signals/backoff_signal.py",
+        "    if text is None or status not in BACKOFF_STATUSES:",
         "    if text is None:",
         f"{_READ}.ReadBackoffTest.test_429_says_the_same_as_503_and_other_answers_say_nothing",
     ),
     Mutant(
         "a slip of units takes an upstream away for good",
-        "chestnutfall/signals/backoff_word.py",
-        "math.ceil(min(seconds * 1000, MOST_BACKOFF_MS))",
+        "chestnutfall/signals/backoff_signal.py",
+        "math.ceil(min(seconds * 1000, MAX_BACKOFF_MS))",
         "math.ceil(seconds * 1000)",
         f"{_READ}.ReadBackoffTest.test_more_than_a_day_is_a_day",
     ),
     Mutant(
         "names of headers that nobody reads are kept without a bound",
         "chestnutfall/signals/unread_headers.py",
-        "        elif len(self._logged) >= MOST_NAMES:",
+        "        elif len(self._logged) >= MAX_NAMES:",
         "        elif False:",
         f"{_READ}.UnreadHeadersTest.test_names_are_bounded_in_number_and_length",
     ),
     Mutant(
         "a new leader is not told what was heard before it",
         "chestnutfall/signals/known_signals.py",
-        "        return (*self.limits.reports_for_new_leader(), *self.backoffs.again())",
+        "        return ("
+        "*self.limits.reports_for_new_leader(), *self.backoffs.reports_for_new_leader())",
         "        return self.limits.reports_for_new_leader()",
-        f"{_LEAVING}.test_the_word_is_told_to_each_leader",
+        f"{_LEAVING}.test_each_new_leader_gets_the_reports",
     ),
     Mutant(
         "an announcement takes back that an upstream leaves",
@@ -174,14 +175,14 @@
     Mutant(
         "an upstream that turns one gateway away is as good as any for the others",
         "chestnutfall/signals/upstream_backoff.py",
-        "        return now_ms < self._doubtful_until_ms",
+        "        return now_ms < self._probably_rejects_until_ms",
         "        return False",
         f"{_PLACEMENT}.test_others_prefer_other_engines_and_try_it_now_and_then",
     ),
     Mutant(
         "a try that was served frees nobody",
         "chestnutfall/signals/upstream_backoff.py",
-        "        if ticket == self._probe and not math.isinf(self._doubtful_until_ms):",
+        "        if ticket == self._probe and not math.isinf(self._probably_rejects_until_ms):",
         "        if False:",
         f"{_PARTS}.UpstreamBackoffTest.test_a_try_that_is_served_frees_the_others",
     ),
@@ -194,10 +195,10 @@
     ),
     Mutant(
         "callers who were refused come back in one moment",
-        "chestnutfall/signals/return_spread.py",
+        "chestnutfall/signals/retry_spread.py",
         "        return math.ceil(free_ms + spread_ms * (series.count * _GOLDEN % 1))",
         "        return math.ceil(free_ms)",
-        f"{_PARTS}.ReturnSpreadTest.test_they_come_back_as_they_came_and_not_before",
+        f"{_PARTS}.RetrySpreadTest.test_they_come_back_as_they_came_and_not_before",
     ),
     Mutant(
         "callers wait for engines that want nothing",
