--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -12,7 +12,7 @@
 from chestnutfall.clock import SystemClock
 from chestnutfall.forwarding.admission import Admission
 from chestnutfall.forwarding.call import Call
-from chestnutfall.quota.quota_desk import QuotaDesk
+from chestnutfall.quota.quota_enforcer import QuotaEnforcer
 from chestnutfall.requests import key_digest
 from chestnutfall.routes import (
     Document,
@@ -44,7 +44,7 @@
     route = Route("r", "a.example", "/a/", RouteKind.STREAM, 4000, 500, 1, targets, 1)
     table = RouteTable(Document(1, (route,), (), DocumentLimits(), holders))
     line, clock = ScriptedQuotaLine(), SystemClock()
-    admission = Admission(QuotaDesk(line, lambda: 81, BOUNDS, clock, random.Random(1)))
+    admission = Admission(QuotaEnforcer(line, lambda: 81, BOUNDS, clock, random.Random(1)))
     began = time.process_time()
     for number in range(REQUESTS):
         digest = key_digest(keys[number % organisations])
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -67,7 +67,7 @@
         self._office.wait(STEP_MS)
 
     def lose_keeper(self) -> None:
-        self._office.change_keeper()
+        self._office.begin_leader()
 
 
 class _Central(_Way):
--- a/chestnutfall/caller_edge/caller_limits.py
+++ b/chestnutfall/caller_edge/caller_limits.py
@@ -8,7 +8,7 @@
 
 from ..clock import Clock
 from ..config.caller import Caller
-from ..quota.quota_desk import Charge, OverQuota, QuotaDesk
+from ..quota.quota_enforcer import Charge, OverQuota, QuotaEnforcer
 from ..requests import Executed, Refusal
 
 WAIT_MS = 500
@@ -18,7 +18,7 @@
 class CallerLimits:
     """Counts requests in progress, and takes each out of its caller's rate."""
 
-    def __init__(self, quotas: QuotaDesk, clock: Clock) -> None:
+    def __init__(self, quotas: QuotaEnforcer, clock: Clock) -> None:
         self._quotas = quotas
         self._clock = clock
         self._running: Counter[str] = Counter()
@@ -59,7 +59,7 @@
             return await self._quotas.admit(caller.as_organisation(name), None, until_ms)
         except OverQuota as exc:
             wait_ms = exc.retry_after_ms
-            if exc.sure:
+            if exc.is_used_up:
                 message = f"at most {caller.rate_per_s} a second through all gateways"
                 raise Refusal(429, "rate_limited", message, retry_after_ms=wait_ms) from exc
             message = "no controller says how much of the rate is left"
--- a/chestnutfall/caller_edge/control_quota_line.py
+++ b/chestnutfall/caller_edge/control_quota_line.py
@@ -9,7 +9,7 @@
 from ..clock import Clock
 from ..control.control_client import ControlClient, NoController
 from ..quota.messages import AnswerQuota, AskQuota, QuotaNews, UsedQuota
-from ..quota.quota_line import NoKeeper, QuotaLine
+from ..quota.quota_client import NoQuotaLeader, QuotaClient
 
 log = logging.getLogger(__name__)
 ASK_MS = 300
@@ -19,7 +19,7 @@
 """How soon a gateway learns that a caller has plenty again."""
 
 
-class ControlQuotaLine(QuotaLine):
+class ControlQuotaLine(QuotaClient):
     """Tells and asks by calls to the controllers.
 
     Attributes
@@ -45,7 +45,7 @@
         # A controller that doesn't lead says where to ask, and the client goes there by itself.
         return not self._connected
 
-    def tell_use(self, use: UsedQuota) -> None:
+    def report_use(self, use: UsedQuota) -> None:
         self._told_ms = self._clock.now_ms()
         task = asyncio.ensure_future(self._tell(use))
         self._sending.add(task)
@@ -67,12 +67,12 @@
             answer = await self._client.ask(AskQuota(0, organisation, units), ASK_MS)
         except NoController as exc:
             self._connected = False
-            raise NoKeeper(str(exc)) from exc
+            raise NoQuotaLeader(str(exc)) from exc
         if not isinstance(answer, AnswerQuota):
-            raise NoKeeper(f"not an answer: {answer}")
+            raise NoQuotaLeader(f"not an answer: {answer}")
         # Nobody is told of plenty unasked here, and who only asks would ask for ever.
         if self._clock.now_ms() >= self._told_ms + LOOK_AGAIN_MS:
-            self.tell_use(UsedQuota(()))
+            self.report_use(UsedQuota(()))
         return answer
 
     async def until_connected(self, within_ms: float) -> bool:
--- a/chestnutfall/control/caller_quotas.py
+++ b/chestnutfall/control/caller_quotas.py
@@ -32,7 +32,7 @@
                 for use in uses:
                     ledger.charge(use.organisation, use.units)
             case WasShort(organisations):
-                ledger.were_short(organisations)
+                ledger.note_short(organisations)
         ledger.news()
         return ledger.whole_news()
 
--- a/chestnutfall/coordination/leader_term.py
+++ b/chestnutfall/coordination/leader_term.py
@@ -187,7 +187,7 @@
                     session.send(self._quotas.ask(number, organisation, units))
                 return
             case WasShort(organisations):
-                self._quotas.were_short(organisations)
+                self._quotas.note_short(organisations)
                 return
             case UsedQuota(uses):
                 for use in uses:
--- a/chestnutfall/forwarding/admission.py
+++ b/chestnutfall/forwarding/admission.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..quota.quota_desk import Charge, OverQuota, QuotaDesk
+from ..quota.quota_enforcer import Charge, OverQuota, QuotaEnforcer
 from ..routes import Organisation, Route, RouteTable
 from .call import Call
 
@@ -65,7 +65,7 @@
     done half of its work.
     """
 
-    def __init__(self, quotas: QuotaDesk) -> None:
+    def __init__(self, quotas: QuotaEnforcer) -> None:
         self._quotas = quotas
 
     def holder(self, call: Call, table: RouteTable, route: Route) -> Organisation | None:
@@ -96,7 +96,7 @@
         try:
             charge = await self._quotas.admit(organisation, call.tokens, until_ms)
         except OverQuota as exc:
-            status, reason = (429, OVER_QUOTA) if exc.sure else (503, QUOTA_UNKNOWN)
+            status, reason = (429, OVER_QUOTA) if exc.is_used_up else (503, QUOTA_UNKNOWN)
             raise NotAdmitted(status, reason, organisation.name, exc.retry_after_ms) from exc
         return Admitted(organisation, charge)
 
--- a/chestnutfall/forwarding/leader_quota_line.py
+++ b/chestnutfall/forwarding/leader_quota_line.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from ..quota.messages import AnswerQuota, AskQuota, UsedQuota
-from ..quota.quota_line import NoKeeper, QuotaLine
+from ..quota.quota_client import NoQuotaLeader, QuotaClient
 from .fleet_client import FleetClient, LeaderLost
 
 
-class LeaderQuotaLine(QuotaLine):
+class LeaderQuotaLine(QuotaClient):
     """Tells and asks over the gateway's stream to the leader."""
 
     def __init__(self, fleet: FleetClient) -> None:
@@ -21,7 +21,7 @@
     def isolated(self) -> bool:
         return self._fleet.isolated
 
-    def tell_use(self, use: UsedQuota) -> None:
+    def report_use(self, use: UsedQuota) -> None:
         self._fleet.tell(use)
 
     async def ask_quota(self, organisation: str, units: float) -> AnswerQuota:
@@ -30,7 +30,7 @@
                 lambda number: AskQuota(number, organisation, units)
             )
         except LeaderLost as exc:
-            raise NoKeeper(str(exc)) from exc
+            raise NoQuotaLeader(str(exc)) from exc
         return answer
 
     async def until_connected(self, within_ms: float) -> bool:
--- a/chestnutfall/limits/plain_send_queues.py
+++ b/chestnutfall/limits/plain_send_queues.py
@@ -8,7 +8,7 @@
 
 from ..clock import Clock
 from ..quota.fair_share import FairShare
-from ..quota.return_times import ReturnTimes
+from ..quota.retry_schedule import RetrySchedule
 from .limit_registry import LimitRegistry
 from .messages import AnswerTurn, AskTurn
 from .upstream_limit import UpstreamLimit
@@ -78,7 +78,7 @@
         self._clock = clock
         self._queues: dict[str, list[_Waiting[Gateway]]] = {}
         self._shares: dict[str, FairShare] = {}
-        self._return_times = ReturnTimes()
+        self._retry_schedule = RetrySchedule()
 
     @property
     def waiting(self) -> int:
@@ -148,7 +148,7 @@
                 continue
             retry_ms = int(wait_ms)
             if asked.wait_ms:
-                retry_ms = self._return_times.wait_ms(service, wait_ms, pace.interval_ms, now_ms)
+                retry_ms = self._retry_schedule.wait_ms(service, wait_ms, pace.interval_ms, now_ms)
             yield AddressedAnswer(waiting.gateway, AnswerTurn(asked.number, "", retry_ms))
         self._queues[service] = left
 
--- a/chestnutfall/ownership/engine_send_limit.py
+++ b/chestnutfall/ownership/engine_send_limit.py
@@ -5,7 +5,7 @@
 from ..clock import Clock
 from ..limits.messages import HeardLimit
 from ..limits.upstream_limit import UpstreamLimit
-from ..quota.return_times import ReturnTimes
+from ..quota.retry_schedule import RetrySchedule
 from ..signals.messages import HeardBackoff
 from .messages import TicketRefusal, TicketRequest
 
@@ -21,7 +21,7 @@
         self._engine = engine
         self._clock = clock
         self._limit = UpstreamLimit()
-        self._return_times = ReturnTimes()
+        self._return_times = RetrySchedule()
         self._backoff_until_ms = 0
 
     def note_limit(self, heard: HeardLimit) -> bool:
--- a/chestnutfall/placement/refusals.py
+++ b/chestnutfall/placement/refusals.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..clock import Clock
-from ..quota.return_times import MOST_WAIT_MS, ReturnTimes
+from ..quota.retry_schedule import MAX_WAIT_MS, RetrySchedule
 from ..signals import BACKING_OFF
 from ..signals.retry_spread import RetrySpread
 from .decisions import Reject
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, clock: Clock) -> None:
-        self._return_times = ReturnTimes()
+        self._return_times = RetrySchedule()
         self._spread = RetrySpread(clock)
 
     def refuse_expired(self, req: PlaceRequest, service_round: ServiceRound, now_ms: int) -> Reject:
@@ -61,7 +61,7 @@
         """Refuse a request beyond the sum of all limits; no engine is free sooner."""
         free_ms = service_round.selector.next_send_ms() + service_round.kept * interval_ms
         retry_ms = self._return_times.wait_ms(req.service, free_ms, interval_ms, now_ms)
-        return _reject(req, "limited", retry_ms, MOST_WAIT_MS)
+        return _reject(req, "limited", retry_ms, MAX_WAIT_MS)
 
     def _reject_backing_off(self, req: PlaceRequest, backoff_ms: float) -> Reject:
         """Refuse a request whose gateway all engines asked for backoff."""
--- a/chestnutfall/platform/gateway.py
+++ b/chestnutfall/platform/gateway.py
@@ -27,7 +27,7 @@
 from ..observability.stdout_logs import StdoutHandler
 from ..programs.event_loop import run
 from ..quarantine import RequestQuarantine, refuses_connections
-from ..quota.quota_desk import QuotaDesk
+from ..quota.quota_enforcer import QuotaEnforcer
 from ..routes import DocumentLimits
 from ..settings.fleet_settings import FleetSettings
 from ..signals import UnreadHeaders
@@ -61,8 +61,10 @@
     fleet.on_suspects = quarantine.take
     api = UpstreamHttp(UnreadHeaders(names.ANSWERED, metrics.count))
     rng = random.Random()
-    quotas = QuotaDesk(LeaderQuotaLine(fleet), lambda: known.gateways, settings.quotas, clock, rng)
-    fleet.on_quotas, fleet.was_short = quotas.take, quotas.was_short
+    quotas = QuotaEnforcer(
+        LeaderQuotaLine(fleet), lambda: known.gateways, settings.quotas, clock, rng
+    )
+    fleet.on_quotas, fleet.was_short = quotas.apply, quotas.shortage_report
     upstream_limits = KnownLimits(fleet.tell, lambda: known.gateways, clock, rng)
     backoffs = KnownBackoffs(fleet.tell, clock)
     signals = KnownSignals(upstream_limits, backoffs, clock)
--- a/chestnutfall/programs/gateway.py
+++ b/chestnutfall/programs/gateway.py
@@ -26,7 +26,7 @@
 from ..peers.peer_server import METHOD as TICKETS_METHOD
 from ..plain_edge import PlainProxy
 from ..quarantine import ReportLine, RequestQuarantine, refuses_connections
-from ..quota.quota_desk import QuotaDesk
+from ..quota.quota_enforcer import QuotaEnforcer
 from ..routing import ClaimDesk, Dispatcher
 from ..settings.gateway_settings import GatewaySettings
 from ..settings.quota_bounds import OFFICE
@@ -111,8 +111,8 @@
             settings.data_centre,
         )
         line = ControlQuotaLine(self._client, self._clock)
-        self._quotas = QuotaDesk(line, self._gateways, OFFICE, self._clock, random.Random())
-        line.on_news = self._quotas.take
+        self._quotas = QuotaEnforcer(line, self._gateways, OFFICE, self._clock, random.Random())
+        line.on_news = self._quotas.apply
         dispatcher = Dispatcher(
             self._agent,
             self._registry,
--- a/chestnutfall/quota/__init__.py
+++ b/chestnutfall/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas of organisations, kept by all gateways together."""
+"""Quotas of organisations and callers, enforced by all gateways together."""
--- a/chestnutfall/quota/fair_share.py
+++ b/chestnutfall/quota/fair_share.py
@@ -1,33 +1,40 @@
-"""Whose turn it is when organisations ask for more than there is."""
+"""The order of requests when organisations ask for more than there is."""
 
 from __future__ import annotations
 
-MOST_ORGANISATIONS = 16_384
-"""Organisations that are remembered; the ones asked for longest ago have no queue to remember."""
+MAX_ORGANISATIONS = 16_384
+"""Organisations whose finish tag is kept; those silent for longest have no queue left."""
 
 
 class FairShare:
     """Start tags of start-time fair queueing (Goyal, Vin and Cheng, 1996), in tokens.
 
-    A request's tag is where its organisation would be if all that wait were served in equal parts.
-    Served in the order of tags, an organisation that sends many times its usual waits behind its
-    own requests, and takes from the others only what they leave. In order of arrival it would take
-    most of what there is, since most of those who wait are its own. An organisation that was
-    silent begins where the others are: it has saved nothing up.
+    A request's start tag is the service that its organisation would have received by then if all
+    waiting organisations were served equally. If requests are served in the order of tags, an
+    organisation that sends many times its usual load waits behind its own requests, and uses only
+    what the others leave. In order of arrival it would use most of the capacity, since most
+    waiting requests are its own. An organisation that sent nothing for a while starts at the
+    others' position, so that idle time earns no credit.
     """
 
     def __init__(self) -> None:
-        self._now = 0.0
-        self._finish: dict[str, float] = {}
+        self._virtual_time = 0.0
+        self._finish_tags: dict[str, float] = {}
 
     def tag(self, organisation: str, tokens: int) -> float:
-        """The tag of a request that comes now."""
-        start = max(self._now, self._finish.pop(organisation, 0.0))
-        self._finish[organisation] = start + max(tokens, 1)
-        if len(self._finish) > MOST_ORGANISATIONS:
-            self._finish.pop(next(iter(self._finish)))
+        """Return the start tag of a request that arrives now.
+
+        Parameters
+        ----------
+        tokens : int
+            Cost of the request; at least 1 is counted.
+        """
+        start = max(self._virtual_time, self._finish_tags.pop(organisation, 0.0))
+        self._finish_tags[organisation] = start + max(tokens, 1)
+        if len(self._finish_tags) > MAX_ORGANISATIONS:
+            self._finish_tags.pop(next(iter(self._finish_tags)))
         return start
 
     def served(self, tag: float) -> None:
-        """Note that a request with this tag was given a place."""
-        self._now = max(self._now, tag)
+        """Advance the virtual time to the tag of a request that is being served."""
+        self._virtual_time = max(self._virtual_time, tag)
--- a/chestnutfall/quota/messages.py
+++ b/chestnutfall/quota/messages.py
@@ -1,4 +1,4 @@
-"""What gateways and the keeper of the quotas tell each other."""
+"""Messages about quotas between gateways and the leader."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrganisationUse:
-    """Units that an organisation's requests took; negative for what never ran."""
+    """Units that an organisation's requests used; negative if they are given back."""
 
     organisation: str
     units: float
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class UsedQuota:
-    """What a gateway let through without asking, since it told last."""
+    """A gateway reports the use that it admitted without asking since its last report."""
 
     uses: tuple[OrganisationUse, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class WasShort:
-    """Organisations that were short when a gateway lost its leader, for the next one."""
+    """A gateway tells a new leader which organisations were short under the previous one."""
 
     organisations: tuple[str, ...]
 
@@ -34,7 +34,7 @@
     Attributes
     ----------
     number : int
-        Names the question in its answer.
+        Identifies the question; repeated in its answer.
     """
 
     number: int
@@ -44,7 +44,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerQuota:
-    """Whether the request of question `number` may pass, and otherwise when one might."""
+    """Answers question `number`: whether the request may pass.
+
+    Attributes
+    ----------
+    retry_after_ms : int
+        For a request that may not pass, the time after which it may.
+    """
 
     number: int
     admitted: bool
@@ -57,10 +63,12 @@
 
     Attributes
     ----------
+    per_s : float
+        Units per second that the quota allows.
     left : float
         Units that may pass at once; negative in debt.
     short : bool
-        Whether gateways ask for each of its requests.
+        Whether gateways must ask for each of its requests.
     """
 
     name: str
@@ -71,12 +79,16 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaNews:
-    """Organisations whose requests must be asked for, and those that have plenty again.
+    """The leader tells gateways for which organisations they must ask before each request.
 
     Attributes
     ----------
     whole : bool
-        Whether `short` replaces all that was told before.
+        Whether `short` replaces all earlier news.
+    short : tuple of str
+        Organisations whose requests must be asked for.
+    plenty : tuple of str
+        Organisations whose requests may pass without asking again.
     """
 
     whole: bool
--- a/chestnutfall/quota/token_bucket.py
+++ b/chestnutfall/quota/token_bucket.py
@@ -1,13 +1,20 @@
-"""A token bucket that may be in debt."""
+"""A token bucket whose level may be negative."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """Fills at a rate up to its size.
+    """A bucket that fills at a constant rate up to its size, and can be in debt.
 
-    What was used is taken even where it is not there: the debt is waited for before the next
-    request passes, so that over time no more passes than the rate.
+    Units that were already used are taken even if the bucket does not hold them. The next request
+    waits until the debt is filled, so that the long-term rate is kept.
+
+    Attributes
+    ----------
+    per_s : float
+        Units per second at which it fills.
+    size : float
+        Units that it holds at most.
     """
 
     def __init__(self, per_s: float, size: float, level: float, now_ms: int) -> None:
@@ -17,7 +24,7 @@
         self._filled_ms = now_ms
 
     def level(self, now_ms: int) -> float:
-        """Units that are there; negative in debt."""
+        """Units in the bucket; negative in debt. Time that runs backwards adds nothing."""
         passed_ms = max(now_ms - self._filled_ms, 0)
         self._level = min(self._level + passed_ms * self.per_s / 1000, self.size)
         self._filled_ms = max(now_ms, self._filled_ms)
@@ -28,11 +35,11 @@
         self._level = min(self.level(now_ms) - units, self.size)
 
     def resize(self, per_s: float, size: float, now_ms: int) -> None:
-        """Fill at another rate, up to another size, from now on."""
+        """Change the rate and the size from now on; units beyond the new size are lost."""
         self._level = min(self.level(now_ms), size)
         self.per_s, self.size = per_s, size
 
     def until_ms(self, level: float, now_ms: int) -> int:
-        """Time until `level` is there."""
+        """Time until the bucket holds `level` units, if none are taken."""
         lacking = level - self.level(now_ms)
         return 0 if lacking <= 0 else int(lacking * 1000 / self.per_s) + 1
--- a/chestnutfall/quota/use_history.py
+++ b/chestnutfall/quota/use_history.py
@@ -1,22 +1,22 @@
-"""What a gateway let through lately."""
+"""Units that a gateway admitted recently."""
 
 from __future__ import annotations
 
 from collections import deque
 
 SLICE_MS = 500
-"""Small beside the windows of quotas, and few enough slices to add up for each question."""
+"""Short compared with the windows of quotas; long enough that few slices are summed per query."""
 
 
 class UseHistory:
-    """Units of the last `length_ms`, in slices."""
+    """Counts units over the last `length_ms`, in slices of `SLICE_MS`."""
 
     def __init__(self, length_ms: int) -> None:
         self._length_ms = length_ms
         self._slices: deque[tuple[int, float]] = deque()
 
     def note(self, units: float, now_ms: int) -> None:
-        """Count units that pass now; negative for what is given back."""
+        """Count units that are admitted now; negative if given back."""
         slice_ms = now_ms - now_ms % SLICE_MS
         if self._slices and self._slices[-1][0] == slice_ms:
             units += self._slices.pop()[1]
@@ -24,7 +24,7 @@
         self._forget(now_ms)
 
     def per_s(self, now_ms: int) -> float:
-        """Units a second over the whole window."""
+        """Mean units per second over the whole window."""
         self._forget(now_ms)
         return max(sum(units for _, units in self._slices), 0.0) * 1000 / self._length_ms
 
--- a/chestnutfall/tests/fakes/fake_upstreams.py
+++ b/chestnutfall/tests/fakes/fake_upstreams.py
@@ -18,7 +18,7 @@
 from ...placement import RunOutcome
 from ...placement.run_times import RunTimes
 from ...quota.messages import AnswerQuota, UsedQuota
-from ...quota.quota_line import NoKeeper, QuotaLine
+from ...quota.quota_client import NoQuotaLeader, QuotaClient
 from ...routes import RouteTable
 from ...signals import NO_SIGNALS, UpstreamLoad, UpstreamSignals
 
@@ -126,7 +126,7 @@
         self.on_give_back()
 
 
-class ScriptedQuotaLine(QuotaLine):
+class ScriptedQuotaLine(QuotaClient):
     """A keeper that gives the answers it is told to, and notes what it hears."""
 
     def __init__(self) -> None:
@@ -143,12 +143,12 @@
     def isolated(self) -> bool:
         return not self.keeps
 
-    def tell_use(self, use: UsedQuota) -> None:
+    def report_use(self, use: UsedQuota) -> None:
         self.told.append(use)
 
     async def ask_quota(self, organisation: str, units: float) -> AnswerQuota:
         if not self.keeps:
-            raise NoKeeper("none")
+            raise NoQuotaLeader("none")
         if self.silent:
             await asyncio.get_running_loop().create_future()
         return self.answer
--- a/chestnutfall/tests/fakes/forwarder_case.py
+++ b/chestnutfall/tests/fakes/forwarder_case.py
@@ -18,7 +18,7 @@
 from ...forwarding.sender import Sender
 from ...observability.histograms import Histograms
 from ...quarantine import RequestQuarantine
-from ...quota.quota_desk import QuotaDesk
+from ...quota.quota_enforcer import QuotaEnforcer
 from ...routes import (
     Document,
     DocumentLimits,
@@ -73,9 +73,9 @@
     async def _borrow(self, service: str) -> bool:
         return self.leader_gives
 
-    def _quotas(self) -> QuotaDesk:
+    def _quotas(self) -> QuotaEnforcer:
         self.line = ScriptedQuotaLine()
-        return QuotaDesk(self.line, lambda: 1, STRICT, self.clock, self.rng)
+        return QuotaEnforcer(self.line, lambda: 1, STRICT, self.clock, self.rng)
 
     async def _serve(
         self, kind: RouteKind, script: tuple[Any, ...], attempts: int = 3, slack: float = 100
--- a/chestnutfall/tests/fakes/quota_office.py
+++ b/chestnutfall/tests/fakes/quota_office.py
@@ -1,4 +1,4 @@
-"""Gateways and a keeper of quotas without a network, for tests of what all let through."""
+"""Simulated gateways and leaders that enforce quotas, without a network."""
 
 from __future__ import annotations
 
@@ -7,15 +7,23 @@
 
 from ...clock import ManualClock
 from ...quota.messages import AnswerQuota, QuotaNews, UsedQuota
-from ...quota.quota_desk import OverQuota, QuotaDesk
+from ...quota.quota_client import NoQuotaLeader, QuotaClient
+from ...quota.quota_enforcer import OverQuota, QuotaEnforcer
 from ...quota.quota_ledger import QuotaLedger
-from ...quota.quota_line import NoKeeper, QuotaLine
 from ...routes import Organisation
 from ...settings.quota_bounds import QuotaBounds
 
 
-class _Line(QuotaLine):
-    """A gateway's line to the keeper; what goes over it while it is cut is lost."""
+class _SimulatedClient(QuotaClient):
+    """A gateway's connection to the leader; messages are lost while it is cut.
+
+    Attributes
+    ----------
+    cut : bool
+        Whether the gateway is cut off from every controller.
+    knows_of_cut : bool
+        Whether the gateway has noticed that.
+    """
 
     def __init__(self, office: QuotaOffice) -> None:
         self._office = office
@@ -30,7 +38,7 @@
     def isolated(self) -> bool:
         return self.cut
 
-    def tell_use(self, use: UsedQuota) -> None:
+    def report_use(self, use: UsedQuota) -> None:
         self._office.messages += 1
         if self._office.ledger is not None and not self.cut:
             for one in use.uses:
@@ -41,7 +49,7 @@
         self._office.asked += 1
         if self._office.ledger is None or self.cut:
             self.knows_of_cut = self.cut
-            raise NoKeeper("cut off")
+            raise NoQuotaLeader("cut off")
         return self._office.ledger.ask(0, organisation, units)
 
     async def until_connected(self, within_ms: float) -> bool:
@@ -49,16 +57,16 @@
 
 
 class QuotaOffice:
-    """All gateways of an office, and one keeper after the other.
+    """Gateways that share the quota of one organisation, and one leader after another.
 
     Attributes
     ----------
     passed : list of (int, float)
-        Clock time and units of each request that was let through.
+        Clock time and units of each admitted request.
     refused : int
-        Requests that were not.
+        Number of refused requests.
     asked, messages : int
-        Questions to the keeper, and messages to it altogether.
+        Number of questions to the leader, and of all messages to it.
     """
 
     def __init__(self, gateways: int, organisation: Organisation, bounds: QuotaBounds) -> None:
@@ -70,73 +78,74 @@
         self.refused = self.asked = self.messages = 0
         self._news: deque[tuple[int, int, QuotaNews]] = deque()
         rng = random.Random(1)
-        self.lines = [_Line(self) for _ in range(gateways)]
-        self.desks = [
-            QuotaDesk(line, lambda: gateways, bounds, self.clock, rng) for line in self.lines
+        self.clients = [_SimulatedClient(self) for _ in range(gateways)]
+        self.enforcers = [
+            QuotaEnforcer(client, lambda: gateways, bounds, self.clock, rng)
+            for client in self.clients
         ]
-        self.change_keeper()
+        self.begin_leader()
 
-    def change_keeper(self) -> None:
-        """Let another keeper begin, which knows nothing of the one before."""
+    def begin_leader(self) -> None:
+        """Start a new leader, which knows nothing of what its predecessor counted."""
         self.ledger = QuotaLedger(self.bounds, self.clock)
         self.ledger.use([self.organisation])
-        for at, line in enumerate(self.lines):
-            if not line.cut:
-                self.ledger.were_short(self.desks[at].was_short().organisations)
-                line.knows_of_cut = False
-                self.desks[at].take(self.ledger.whole_news())
-
-    def lose_keeper(self) -> None:
-        """Leave the gateways without a keeper."""
+        for at, client in enumerate(self.clients):
+            if not client.cut:
+                self.ledger.note_short(self.enforcers[at].shortage_report().organisations)
+                client.knows_of_cut = False
+                self.enforcers[at].apply(self.ledger.whole_news())
+
+    def lose_leader(self) -> None:
+        """Leave the gateways without a leader."""
         self.ledger = None
 
     def limit(self, organisation: Organisation) -> None:
-        """Put another limit in force."""
+        """Put another quota of the organisation in force."""
         self.organisation = organisation
         if self.ledger is not None:
             self.ledger.use([organisation])
 
     def cut(self, gateway: int, noticed: bool = True) -> None:
-        """Cut a gateway off from every keeper."""
-        self.lines[gateway].cut = True
-        self.lines[gateway].knows_of_cut = noticed
+        """Cut a gateway off from every controller; `noticed` is whether it knows that at once."""
+        self.clients[gateway].cut = True
+        self.clients[gateway].knows_of_cut = noticed
 
     def heal(self, gateway: int) -> None:
-        """Join it again."""
-        self.lines[gateway].cut = self.lines[gateway].knows_of_cut = False
+        """Connect a gateway again that was cut off."""
+        self.clients[gateway].cut = self.clients[gateway].knows_of_cut = False
         if self.ledger is not None:
-            self.desks[gateway].take(self.ledger.whole_news())
+            self.enforcers[gateway].apply(self.ledger.whole_news())
 
     async def request(self, gateway: int, tokens: int) -> bool:
-        """Send one request through a gateway; whether it passed."""
+        """Send one request through a gateway; return whether it was admitted."""
         until_ms = self.clock.now_ms()
         try:
-            charge = await self.desks[gateway].admit(self.organisation, tokens, until_ms)
+            charge = await self.enforcers[gateway].admit(self.organisation, tokens, until_ms)
         except OverQuota:
             self.refused += 1
             return False
         self.passed.append((self.clock.now_ms(), charge.units))
         return True
 
-    def wait(self, ms: int, tell_ms: int = 10) -> None:
-        """Let time pass, in which gateways and the keeper tell what is due."""
-        for _ in range(max(ms // tell_ms, 1)):
-            self.clock._now_ms += min(tell_ms, ms)
-            self._tell_short()
-            if self.clock.now_ms() % 200 < tell_ms:
-                for desk in self.desks:
-                    desk.tell()
+    def wait(self, ms: int, step_ms: int = 10) -> None:
+        """Let time pass in steps, in which gateways send reports and the leader sends news."""
+        for _ in range(max(ms // step_ms, 1)):
+            self.clock._now_ms += min(step_ms, ms)
+            self._send_news()
+            if self.clock.now_ms() % 200 < step_ms:
+                for enforcer in self.enforcers:
+                    enforcer.report_use()
 
-    def _tell_short(self) -> None:
+    def _send_news(self) -> None:
         news = self.ledger.news() if self.ledger is not None else None
         if news is None:
             return
-        for line, desk in zip(self.lines, self.desks, strict=True):
-            if not line.cut:
-                desk.take(news)
+        for client, enforcer in zip(self.clients, self.enforcers, strict=True):
+            if not client.cut:
+                enforcer.apply(news)
 
     def most_in_window(self, from_ms: int = 0) -> float:
-        """Most units that passed in any window that begins at `from_ms` or later."""
+        """Return the most units admitted in any window that starts at `from_ms` or later."""
         most = held = 0.0
         window: deque[tuple[int, float]] = deque()
         for at_ms, units in self.passed:
@@ -150,7 +159,7 @@
         return most
 
     def bound(self) -> float:
-        """What may pass in any window."""
+        """Return the units that may be admitted in any window."""
         quota = self.organisation.quota
         in_window = quota.per_s * self.bounds.window_ms / 1000 + quota.burst
         return in_window * (1 + self.bounds.over) + self.bounds.slack
--- a/chestnutfall/tests/fakes/signal_office.py
+++ b/chestnutfall/tests/fakes/signal_office.py
@@ -21,7 +21,7 @@
 from ...observability.histograms import Histograms
 from ...placement import AdapterName, LoadAdapter, Order, UnloadAdapter
 from ...quarantine import RequestQuarantine
-from ...quota.quota_desk import QuotaDesk
+from ...quota.quota_enforcer import QuotaEnforcer
 from ...requests import key_digest
 from ...routes import (
     Document,
@@ -188,7 +188,7 @@
         self.apis[name] = SignallingApi(self.upstreams, name, self.clock)
         self._forwarders[name] = Forwarder(
             FixedRoutes(_table(), self.clock),
-            Admission(QuotaDesk(ScriptedQuotaLine(), lambda: 1, OFFICE, self.clock, rng)),
+            Admission(QuotaEnforcer(ScriptedQuotaLine(), lambda: 1, OFFICE, self.clock, rng)),
             Repeats(
                 self._bounds,
                 lambda: len(self.gateways) or 1,
--- a/chestnutfall/tests/test_caller_quotas.py
+++ b/chestnutfall/tests/test_caller_quotas.py
@@ -1,8 +1,8 @@
 """The rate of a caller of the OpenAI dialect, over all gateways together.
 
-A planner's agency is promised a hundred requests a second and spreads them over all gateways. Kept
-at each gateway for itself, that rate let it have a hundred times as many gateways as there are;
-counted by the leader, it has what it was promised wherever it asks, also while a leader is missing.
+A caller with a rate of a hundred requests per second spreads them over all gateways. If each
+gateway enforced the rate on its own, the caller would get it once per gateway. Counted by the
+leader, it gets its rate once, through whichever gateways it sends, also while there is no leader.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from ..control.control_client import ControlClient, NoController
 from ..control.control_state import ControlState
 from ..quota.messages import AskQuota
-from ..quota.quota_desk import QuotaDesk
+from ..quota.quota_enforcer import QuotaEnforcer
 from ..requests import Executed, Refusal
 from ..settings.quota_bounds import OFFICE
 
@@ -30,15 +30,15 @@
 
 
 class _Client:
-    """Asks the keeper at once, as long as there is one."""
+    """A control client that passes messages to the leader's quotas, or fails without a leader."""
 
-    def __init__(self, keeper: CallerQuotas) -> None:
-        self.keeper: CallerQuotas | None = keeper
+    def __init__(self, quotas: CallerQuotas) -> None:
+        self.quotas: CallerQuotas | None = quotas
 
     async def ask(self, msg: Any, within_ms: float) -> Any:
-        if self.keeper is None:
+        if self.quotas is None:
             raise NoController("none")
-        return self.keeper.ask(msg) if isinstance(msg, AskQuota) else self.keeper.take(msg)
+        return self.quotas.ask(msg) if isinstance(msg, AskQuota) else self.quotas.take(msg)
 
 
 class CallerQuotasTest(unittest.IsolatedAsyncioTestCase):
@@ -51,11 +51,11 @@
         self.gateways = [self._gateway() for _ in range(GATEWAYS)]
         self.passed: list[int] = []
 
-    def _gateway(self) -> tuple[CallerLimits, QuotaDesk]:
+    def _gateway(self) -> tuple[CallerLimits, QuotaEnforcer]:
         line = ControlQuotaLine(cast(ControlClient, self.client), self.clock)
-        desk = QuotaDesk(line, lambda: GATEWAYS, OFFICE, self.clock, random.Random(1))
-        line.on_news = desk.take
-        return CallerLimits(desk, self.clock), desk
+        enforcer = QuotaEnforcer(line, lambda: GATEWAYS, OFFICE, self.clock, random.Random(1))
+        line.on_news = enforcer.apply
+        return CallerLimits(enforcer, self.clock), enforcer
 
     async def _request(self, gateway: int) -> str:
         try:
@@ -65,14 +65,14 @@
         except Refusal as refusal:
             return refusal.code
 
-    async def _play(self, seconds: float, a_second: int) -> None:
+    async def _send(self, seconds: float, a_second: int) -> None:
         for step in range(int(seconds * 100)):
             for at in range(a_second // 100):
                 await self._request((step + 5 * at) % GATEWAYS)
             await self.clock.advance(10)
             if step % 20 == 0:
-                for _, desk in self.gateways:
-                    desk.tell()
+                for _, enforcer in self.gateways:
+                    enforcer.report_use()
             await self.clock.advance(0)
 
     def _most_in_window(self) -> int:
@@ -80,20 +80,20 @@
         return max(sum(at <= one < at + window for one in self.passed) for at in self.passed)
 
     async def test_all_gateways_together_let_through_the_rate_of_one(self) -> None:
-        await self._play(1, 100)
-        await self._play(12, 900)
+        await self._send(1, 100)
+        await self._send(12, 900)
         bound = (PER_S * OFFICE.window_ms / 1000 + PER_S) * (1 + OFFICE.over)
         self.assertLessEqual(self._most_in_window(), bound)
         self.assertGreaterEqual(len(self.passed), 0.95 * 13 * PER_S)
 
     async def test_what_is_within_the_rate_passes_wherever_it_is_asked(self) -> None:
-        await self._play(1, 0)
-        await self._play(10, 100)
+        await self._send(1, 0)
+        await self._send(10, 100)
         self.assertGreaterEqual(len(self.passed), 0.99 * 10 * PER_S)
 
     async def test_no_controller_is_not_called_a_rate_that_is_used_up(self) -> None:
-        await self._play(1, 900)
-        self.client.keeper = None
+        await self._send(1, 900)
+        self.client.quotas = None
         asking = [asyncio.ensure_future(self._request(at % GATEWAYS)) for at in range(18)]
         for _ in range(60):
             await self.clock.advance(20)
@@ -102,11 +102,11 @@
         self.assertNotIn("rate_limited", answers)
 
     async def test_a_refusal_that_ran_nothing_gives_back(self) -> None:
-        limits, desk = self.gateways[0]
+        limits, enforcer = self.gateways[0]
         with self.assertRaises(Refusal):
             async with limits.admitted("agency", CALLER):
                 raise Refusal(503, "no_engine", "none", Executed.NO)
-        self.assertEqual(desk._untold.get("agency", 0.0), 0.0)
+        self.assertEqual(enforcer._unreported.get("agency", 0.0), 0.0)
 
     async def test_requests_at_once_are_bounded_at_each_gateway(self) -> None:
         limits, _ = self.gateways[0]
--- a/chestnutfall/tests/test_organisations.py
+++ b/chestnutfall/tests/test_organisations.py
@@ -35,7 +35,7 @@
 from ..platform.upstream_http import _headers
 from ..quarantine import RequestQuarantine
 from ..quota.messages import AnswerQuota, QuotaNews
-from ..quota.quota_desk import QuotaDesk
+from ..quota.quota_enforcer import QuotaEnforcer
 from ..requests import key_digest
 from ..routes import RouteTable, UnreadableDocument, check_document
 from ..settings.quota_bounds import STRICT
@@ -151,7 +151,7 @@
         self.reply = RecordedReply()
         self.within_ms = 100
         self.line = ScriptedQuotaLine()
-        self.quotas = QuotaDesk(self.line, lambda: 1, STRICT, self.clock, random.Random(1))
+        self.quotas = QuotaEnforcer(self.line, lambda: 1, STRICT, self.clock, random.Random(1))
         self.metrics = Histograms()
         self.written = io.StringIO()
         handler = logging.StreamHandler(self.written)
@@ -215,7 +215,7 @@
     # its gateways answers no question about quotas.
     async def test_a_leader_that_gives_no_answer_holds_up_nobody_beyond_its_time(self) -> None:
         self.line.silent = True
-        self.quotas.take(QuotaNews(True, ("permits",)))
+        self.quotas.apply(QuotaNews(True, ("permits",)))
         self.within_ms = 4_000
         await self._serve(_document(LIMITED), "key-of-permits")
         self.assertIn(self.reply.status, (200, 503))
@@ -237,7 +237,7 @@
         self.assertEqual(self.upstreams.sends[0].rank, 3)
 
     async def test_over_the_quota_is_refused_with_the_time_to_come_back(self) -> None:
-        self.quotas.take(QuotaNews(True, ("permits",)))
+        self.quotas.apply(QuotaNews(True, ("permits",)))
         self.line.answer = AnswerQuota(0, False, 730)
         await self._serve(_document(LIMITED), "key-of-permits")
         self.assertEqual((self.reply.status, self.reply.retry_after_ms), (429, 730))
@@ -251,7 +251,7 @@
         self.assertEqual(self.reply.status, 503)
 
     async def _told(self) -> float:
-        self.quotas.tell()
+        self.quotas.report_use()
         return sum(use.units for used in self.line.told for use in used.uses)
 
     async def test_a_call_is_charged_once_however_often_it_is_sent(self) -> None:
--- a/chestnutfall/tests/test_plain_proxy.py
+++ b/chestnutfall/tests/test_plain_proxy.py
@@ -49,11 +49,11 @@
         self.reports: list[CrashReport] = []
         self.quarantine = RequestQuarantine(self.reports.append, self._refuses, self.office.clock)
         self.on_break = lambda: None
-        self.ran: list[bytes] = []
+        self.received_bodies: list[bytes] = []
         self.headers: dict[str, str] = {}
-        self.away: dict[str, str] = {}
+        self.retry_after: dict[str, str] = {}
         self.turned_away: list[str] = []
-        self.ran_at: list[str] = []
+        self.served_by: list[str] = []
         self.announced: list[Announcement] = []
         self.runners = [await self._start(f"counter-{number}") for number in range(2)]
         self.proxy = PlainProxy(
@@ -98,12 +98,12 @@
 
     async def _run(self, request: web.BaseRequest, name: str) -> web.StreamResponse:
         body = await request.read()
-        if name in self.away:
+        if name in self.retry_after:
             self.turned_away.append(name)
-            headers = {"Retry-After": self.away[name], **self.headers}
+            headers = {"Retry-After": self.retry_after[name], **self.headers}
             return web.Response(status=503, headers=headers)
-        self.ran.append(body)
-        self.ran_at.append(name)
+        self.received_bodies.append(body)
+        self.served_by.append(name)
         if body == FATAL and request.transport is not None:
             request.transport.abort()
             self.on_break()
@@ -126,8 +126,8 @@
     async def test_broken_calls_are_reported_with_their_upstream(self) -> None:
         refusal = await self._refused()
         self.assertEqual((refusal.status, refusal.executed), (502, Executed.UNKNOWN))
-        told = {one.instance for one in self.reports if isinstance(one, BrokenRun)}
-        self.assertEqual(told, {"counter-0/first", "counter-1/first"})
+        reported = {one.instance for one in self.reports if isinstance(one, BrokenRun)}
+        self.assertEqual(reported, {"counter-0/first", "counter-1/first"})
 
     async def test_a_quarantined_call_is_not_run_and_others_are(self) -> None:
         self._hold()
@@ -135,13 +135,13 @@
         self.assertEqual((refusal.status, refusal.executed), (503, Executed.NO))
         self.assertEqual(refusal.retry_after_ms, 60_000)
         self.assertEqual((await self._answer(b"usual")).body, b"answer")
-        self.assertEqual(self.ran, [b"usual"])
+        self.assertEqual(self.received_bodies, [b"usual"])
 
     async def test_a_call_that_broke_off_before_the_quarantine_may_have_run(self) -> None:
         self.on_break = self._hold
         refusal = await self._refused()
         self.assertEqual((refusal.status, refusal.executed), (502, Executed.UNKNOWN))
-        self.assertEqual(len(self.ran), 1)
+        self.assertEqual(len(self.received_bodies), 1)
 
     async def test_an_answer_to_a_watched_call_is_told(self) -> None:
         watched = fingerprint_of("ana", "PUT /counter/x", b"usual")
@@ -154,7 +154,7 @@
         self._limit("2")
         for body in (b"1", b"2"):  # one at each upstream, which names its limit
             await self._answer(body)
-        self.assertEqual(len(self.ran), 2)
+        self.assertEqual(len(self.received_bodies), 2)
         refusals = []
         for _ in range(100):
             await self._pass_ms(50)
@@ -162,7 +162,7 @@
                 await self._answer(b"more")
             except Refusal as refusal:
                 refusals.append(refusal)
-        used = len(self.ran) - 2
+        used = len(self.received_bodies) - 2
         self.assertLessEqual(used, 2 * 2 * 5 + 2)
         self.assertGreaterEqual(used, 0.7 * 2 * 2 * 5)
         self.assertEqual({(one.status, one.executed) for one in refusals}, {(503, Executed.NO)})
@@ -177,31 +177,31 @@
             await self._pass_ms(100)
             with contextlib.suppress(Refusal):
                 await self._answer(b"probe")
-        ran = len(self.ran)
+        ran = len(self.received_bodies)
         for _ in range(20):
             await self._answer(b"free")
-        self.assertEqual(len(self.ran) - ran, 20)
+        self.assertEqual(len(self.received_bodies) - ran, 20)
 
     # Guards against plain services that ask for time and get the next call at once.
     async def test_one_that_asks_for_time_gets_it_and_callers_lose_nothing(self) -> None:
-        self.away = {"counter-0": "2"}
+        self.retry_after = {"counter-0": "2"}
         for _ in range(40):
             self.assertEqual((await self._answer(b"more")).body, b"answer")
             await self._pass_ms(100)
         self.assertEqual(self.turned_away, ["counter-0"] * 2)
-        self.away = {}
+        self.retry_after = {}
         await self._pass_ms(2_000)
-        self.ran_at.clear()
+        self.served_by.clear()
         for _ in range(4):
             await self._answer(b"more")
-        self.assertEqual(set(self.ran_at), {"counter-0", "counter-1"})
+        self.assertEqual(set(self.served_by), {"counter-0", "counter-1"})
 
     # Guards against a call that may not be repeated and is sent twice without a proof.
     async def test_a_call_that_may_not_be_repeated_goes_on_only_after_a_proof(self) -> None:
         for headers, runs in (({}, 0), ({"X-Executed": "no"}, 1)):
             with self.subTest(headers):
-                self.ran.clear()
-                self.away, self.headers = {"counter-0": "0", "counter-1": "0"}, headers
+                self.received_bodies.clear()
+                self.retry_after, self.headers = {"counter-0": "0", "counter-1": "0"}, headers
                 request = make_mocked_request("POST", "/counter/x")
                 answer = await self.proxy.answer(request, "ana", b"once")
                 self.assertEqual(answer.status, 503)
@@ -210,7 +210,7 @@
 
     # Guards against a caller who is told "not run" by the last upstream when the first one ran it.
     async def test_a_refusal_says_nothing_of_the_upstream_before(self) -> None:
-        self.away = {"counter-1": "1"}
+        self.retry_after = {"counter-1": "1"}
         self.proxy._turn = 1  # the one that breaks off is the first
         with self.assertRaises(Refusal) as caught:
             await self._answer(FATAL)
@@ -220,7 +220,7 @@
 
     # Guards against callers who are not told when all of a service want time.
     async def test_where_all_ask_for_time_callers_are_told_at_once(self) -> None:
-        self.away = {"counter-0": "3", "counter-1": "3"}
+        self.retry_after = {"counter-0": "3", "counter-1": "3"}
         self.assertEqual((await self._answer(b"first")).status, 503)
         for _ in range(20):
             await self._pass_ms(50)
@@ -239,7 +239,7 @@
         self.headers = {}
         for _ in range(6):
             await self._answer(b"2")
-        self.assertEqual(len(self.ran), 7)
+        self.assertEqual(len(self.received_bodies), 7)
         leaving = [one for one in self.announced if not self._may_send(one)]
         self.assertEqual(len(leaving), 1)
 
--- a/chestnutfall/tests/test_quotas.py
+++ b/chestnutfall/tests/test_quotas.py
@@ -1,9 +1,9 @@
-"""What all gateways together let through of one organisation.
+"""The requests of one organisation that all gateways together admit.
 
-An office sends many times its usual through every gateway at once, while leaders fall, gateways
-are cut off or stand still, and its limit is lowered. Too much let through takes the engines from
-the other offices; too little refuses what it has a right to. Callers that move to another data
-centre find the same quota there.
+The organisation sends many times its usual load through every gateway at once, while leaders fail,
+gateways are cut off or frozen, and its quota is lowered. Admitting too much takes engines from
+other organisations; admitting too little refuses requests within the quota. Callers that move to
+another data centre have the same quota there.
 """
 
 from __future__ import annotations
@@ -57,13 +57,13 @@
 
 class QuotaTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        # Its loop would keep the stack of each callback; that is most of the time here.
+        # In debug mode the loop records a stack for each callback, which takes most of the time.
         asyncio.get_running_loop().set_debug(False)
 
     async def _send(
         self, office: QuotaOffice, per_s: float, seconds: float, gateways: range, seed: int = 1
     ) -> tuple[int, int]:
-        """Requests sent and let through, at `per_s` tokens over `gateways`."""
+        """Send `per_s` tokens per second through `gateways`; return requests sent and admitted."""
         rng = random.Random(seed)
         sent = passed = 0
         tokens = 0.0
@@ -109,8 +109,8 @@
                 self.assertGreaterEqual(sum(units for _, units in office.passed), 0.99 * owed)
 
     async def test_far_over_the_limit_what_is_within_it_passes(self) -> None:
-        # Each request that fits into the quota, in the order in which they come, is its office's
-        # right; those that come between have none.
+        # In order of arrival, each request that fits into the quota must be admitted; the others
+        # need not be.
         for load in (1.2, 2, 3.3, 6.7):
             with self.subTest(load):
                 office = QuotaOffice(81, OFFICE, BOUNDS)
@@ -131,8 +131,8 @@
                 self.assertGreaterEqual(passed, 0.9 * owed)
 
     async def test_gateways_that_are_cut_off_for_long_leave_the_quota_to_the_others(self) -> None:
-        # Half of all are cut off, and the leader gives everything to the other half. Of a large
-        # office the slack is small beside what the first half would go on using.
+        # Half of the gateways are cut off, and the leader grants the whole quota to the other half.
+        # For a large quota the slack is small compared with what the first half would still use.
         large = replace(QUOTA, per_s=137_000.0, burst=137_000.0)
         office = QuotaOffice(20, replace(OFFICE, quota=large), BOUNDS)
         office.wait(2_000)
@@ -146,7 +146,7 @@
         office = QuotaOffice(9, OFFICE, BOUNDS)
         office.wait(2_000)
         await self._send(office, 0.9 * PER_S, 8, range(9))
-        office.lose_keeper()
+        office.lose_leader()
         await self._send(office, 0.9 * PER_S, 10, range(9))
         lost_ms = office.clock.now_ms() - 5_000
         late = sum(units for at_ms, units in office.passed if at_ms >= lost_ms)
@@ -155,7 +155,7 @@
     async def test_a_new_leader_begins_with_nothing_for_those_that_were_short(self) -> None:
         ledger = QuotaLedger(BOUNDS, QuotaOffice(1, OFFICE, BOUNDS).clock)
         ledger.use([OFFICE, replace(OFFICE, name="other")])
-        ledger.were_short(["office", "unknown"])
+        ledger.note_short(["office", "unknown"])
         self.assertFalse(ledger.ask(0, "office", DRAFT).admitted)
         self.assertTrue(ledger.ask(0, "other", DRAFT).admitted)
 
@@ -197,16 +197,16 @@
         office.wait(2_000)
         for _ in range(8):
             await self._send(office, 6.7 * PER_S, 2, range(81))
-            office.lose_keeper()
+            office.lose_leader()
             await self._send(office, 6.7 * PER_S, 1, range(81))
-            office.change_keeper()
+            office.begin_leader()
         self.assertLessEqual(office.most_in_window(), office.bound())
 
     async def test_without_a_leader_gateways_go_on_with_the_callers_that_they_had(self) -> None:
         office = QuotaOffice(81, OFFICE, BOUNDS)
         office.wait(2_000)
         await self._send(office, 0.55 * PER_S, 10, range(16))
-        office.lose_keeper()
+        office.lose_leader()
         sent, passed = await self._send(office, 0.55 * PER_S, 1, range(16))
         self.assertGreaterEqual(passed, 0.8 * sent)
 
@@ -214,7 +214,7 @@
         office = QuotaOffice(81, OFFICE, BOUNDS)
         office.wait(2_000)
         await self._send(office, 6.7 * PER_S, 8, range(81))
-        office.lose_keeper()
+        office.lose_leader()
         await self._send(office, 6.7 * PER_S, 30, range(81))
         self.assertLessEqual(office.most_in_window(), office.bound())
 
@@ -233,8 +233,8 @@
         office = QuotaOffice(9, OFFICE, BOUNDS)
         office.wait(2_000)
         await self._send(office, 6.7 * PER_S, 8, range(1, 9))
-        # It knows of no shortage, and all that its clients sent meanwhile arrives at once.
-        office.desks[0].take(QuotaNews(True, ()))
+        # It knows of no shortage, and all requests that callers sent meanwhile arrive at once.
+        office.enforcers[0].apply(QuotaNews(True, ()))
         for _ in range(60):
             await office.request(0, DRAFT)
         await self._send(office, 6.7 * PER_S, 8, range(9))
@@ -245,8 +245,8 @@
         office.wait(2_000)
         for _ in range(200):
             if await office.request(0, DRAFT):
-                charge = await office.desks[0].admit(OFFICE, 0, 0)
-                office.desks[0].give_back(replace(charge, units=DRAFT), QUOTA)
+                charge = await office.enforcers[0].admit(OFFICE, 0, 0)
+                office.enforcers[0].give_back(replace(charge, units=DRAFT), QUOTA)
             office.wait(10)
         self.assertEqual(office.refused, 0)
 
@@ -257,7 +257,7 @@
             self.assertTrue(await office.request(0, REASSESSMENT))
         self.assertEqual(office.messages, 0)
 
-    async def test_nobody_waits_for_a_word_in_the_usual_case(self) -> None:
+    async def test_few_requests_wait_for_the_leader_in_the_usual_case(self) -> None:
         office = QuotaOffice(81, OFFICE, BOUNDS)
         office.wait(2_000)
         sent, _ = await self._send(office, 0.4 * PER_S, 20, range(81))
@@ -277,7 +277,7 @@
         asyncio.run(self._play(steps))
 
     async def _play(self, steps: list[tuple[str, int]]) -> None:
-        """At most one change of leader, and one gateway cut off, in a window."""
+        """Run steps with at most one change of leader or one cut-off gateway per window."""
         office = QuotaOffice(9, OFFICE, BOUNDS)
         office.wait(2_000)
         changed_ms = -BOUNDS.window_ms
@@ -291,10 +291,10 @@
                 case "wait":
                     office.wait(100 * at + 50)
                 case "lose" if settled:
-                    office.lose_keeper()
+                    office.lose_leader()
                     changed_ms = now_ms
                 case "lead" if office.ledger is None:
-                    office.change_keeper()
+                    office.begin_leader()
                 case "cut" if settled:
                     office.cut(at)
                     changed_ms = now_ms
--- a/properties/safeguards/quota_mutants.py
+++ b/properties/safeguards/quota_mutants.py
@@ -1,4 +1,4 @@
-"""Safeguards of keys and quotas, and of how gateways learn of upstreams."""
+"""Mutants of the safeguards for keys and quotas, and for how gateways learn of upstreams."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 QUOTA_MUTANTS = (
     Mutant(
         "what passed is never told",
-        "chestnutfall/quota/quota_desk.py",
-        "            self._line.tell_use(UsedQuota(uses))",
+        "chestnutfall/quota/quota_enforcer.py",
+        "            self._client.report_use(UsedQuota(uses))",
         "            pass",
         _QUOTAS,
     ),
     Mutant(
         "each new leader begins with a full burst",
         "chestnutfall/quota/quota_ledger.py",
-        "        level = START_PART * self._bounds.spare(organisation.quota)",
+        "        level = START_FRACTION * self._bounds.spare(organisation.quota)",
         "        level = size",
         _QUOTAS,
     ),
     Mutant(
         "a new leader is not told who was short",
         "chestnutfall/quota/quota_ledger.py",
-        "        if now_ms > self._begun_ms + TOLD_BY_GATEWAYS_MS:",
+        "        if now_ms > self._started_ms + SHORT_REPORTS_MS:",
         "        if True:",
         _QUOTAS,
     ),
     Mutant(
         "without a leader everything passes",
-        "chestnutfall/quota/lone_share.py",
+        "chestnutfall/quota/leaderless_share.py",
         "        if self._rng.random() * units >= bucket.level(now_ms):",
         "        if False:",
         _QUOTAS,
     ),
     Mutant(
         "cut off for long, a gateway goes on at its old pace",
-        "chestnutfall/quota/lone_share.py",
-        "        if now_ms >= lost_ms + GO_ON_MS:",
+        "chestnutfall/quota/leaderless_share.py",
+        "        if now_ms >= lost_ms + KEEP_PACE_MS:",
         "        if False:",
         _QUOTAS,
     ),
     Mutant(
         "all that are refused come back at one moment",
-        "chestnutfall/quota/return_times.py",
+        "chestnutfall/quota/retry_schedule.py",
         "start_ms + int(step_ms)",
         "start_ms",
         _QUOTAS,
