--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -26,7 +26,7 @@
     WeightedService,
 )
 from chestnutfall.settings.quota_bounds import QuotaBounds
-from chestnutfall.tests.fakes.fake_upstreams import ScriptedQuotaLine
+from chestnutfall.tests.fakes.fake_upstreams import ScriptedQuotaClient
 
 REQUESTS = 20_000
 SIZES = (1, 16, 10_000)
@@ -43,7 +43,7 @@
     targets = (WeightedService("s", 1),)
     route = Route("r", "a.example", "/a/", RouteKind.STREAM, 4000, 500, 1, targets, 1)
     table = RouteTable(Document(1, (route,), (), DocumentLimits(), holders))
-    line, clock = ScriptedQuotaLine(), SystemClock()
+    line, clock = ScriptedQuotaClient(), SystemClock()
     admission = Admission(QuotaEnforcer(line, lambda: 81, BOUNDS, clock, random.Random(1)))
     began = time.process_time()
     for number in range(REQUESTS):
@@ -52,7 +52,7 @@
             "id", "GET", "/a/", "/a/", "a.example", (), b"", 0, 9, tokens=712, key_digest=digest
         )
         await admission.charge(call, admission.holder(call, table, route), 10**15)
-        line.told.clear()
+        line.reported.clear()
     return (time.process_time() - began) * 1e6 / REQUESTS
 
 
--- a/chestnutfall/forwarding/__init__.py
+++ b/chestnutfall/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Takes a call of a client to an upstream of its route and relays the answer."""
+"""Forwards each client call to an upstream of its route and relays the answer."""
--- a/chestnutfall/forwarding/admission.py
+++ b/chestnutfall/forwarding/admission.py
@@ -1,4 +1,4 @@
-"""Whether a call may be served: whose it is, and whether that organisation's quota has room."""
+"""Admission of calls: identifies the organisation by its key and charges its quota."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class NotAdmitted(Exception):
-    """The call is refused before it takes a place or a repeat; nothing ran.
+    """The call is refused before an upstream is selected; nothing ran.
 
     Attributes
     ----------
@@ -23,7 +23,9 @@
     reason : str
         Machine-readable cause.
     organisation : str
-        Whose call it is; empty where that isn't known.
+        Name of the organisation that sent the call; empty if unknown.
+    retry_after_ms : int or None
+        Time after which the client may try again; None if a retry can't help.
     """
 
     def __init__(
@@ -38,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """A call that may be served.
+    """An admitted call.
 
     Attributes
     ----------
     organisation : Organisation or None
-        Whose call it is; None where nobody needs a key.
+        Organisation that sent the call; None if the route needs no key.
     charge : Charge or None
-        What it took of the quota.
+        Quota units taken for the call; None without an organisation.
     """
 
     organisation: Organisation | None
@@ -58,23 +60,23 @@
 
 
 class Admission:
-    """Asks whose key it is, and then the quota of its holder.
+    """Checks the key of a call, then the quota of the organisation that holds the key.
 
-    Both hold at the moment at which the call comes. A key that is taken away later ends nothing
-    that waits or runs: its caller had the right to ask, and a run that is broken off may have
-    done half of its work.
+    Both checks apply when the call arrives. Revoking a key later ends no call that is waiting or
+    running: the call was authorised when it came, and a run that is broken off may have done half
+    of its work.
     """
 
     def __init__(self, quotas: QuotaEnforcer) -> None:
         self._quotas = quotas
 
     def holder(self, call: Call, table: RouteTable, route: Route) -> Organisation | None:
-        """The organisation whose key the call bears; None if it needs none.
+        """Return the organisation that holds the call's key; None if the route needs no key.
 
         Raises
         ------
         NotAdmitted
-            When the route needs a key and nobody holds this one.
+            When the route needs a key and the call has none or an unknown one.
         """
         organisation = table.holder(call.key_digest) if call.key_digest is not None else None
         if organisation is None and table.needs_key(route):
@@ -84,12 +86,17 @@
     async def charge(
         self, call: Call, organisation: Organisation | None, until_ms: int
     ) -> Admitted:
-        """Take what the call costs out of the quota.
+        """Charge the call to its organisation's quota.
+
+        Parameters
+        ----------
+        until_ms : int
+            Clock time until which the call may wait for the leader's decision.
 
         Raises
         ------
         NotAdmitted
-            When nothing is left, or nobody can say in time.
+            When the quota is used up, or the leader gives no decision in time.
         """
         if organisation is None:
             return Admitted(None, None)
@@ -100,7 +107,7 @@
             raise NotAdmitted(status, reason, organisation.name, exc.retry_after_ms) from exc
         return Admitted(organisation, charge)
 
-    def give_back(self, admitted: Admitted) -> None:
-        """Give back what a call took that never ran."""
+    def refund(self, admitted: Admitted) -> None:
+        """Return the charged units of a call that never ran to its quota."""
         if admitted.organisation is not None and admitted.charge is not None:
             self._quotas.give_back(admitted.charge, admitted.organisation.quota)
--- /dev/null
+++ b/chestnutfall/forwarding/answer_timeouts.py
@@ -0,0 +1,50 @@
+"""Timeouts for silent answers, of the gateway and of the clients that wait for them."""
+
+from __future__ import annotations
+
+from ..routes import Route
+from .call import Call
+
+SLOW_READ_TOKENS_PER_MS = 15.0
+"""Prompt reading speed of a busy engine, about a third of its full speed."""
+PAUSE_FACTOR = 3
+"""Pause timeout in pause objectives. Pauses of a busy engine stay below twice the objective; a hung
+engine never ends its pause."""
+OBJECTIVE_FRACTION = 0.6
+"""Fraction of the objective after which a silent send is given up, early enough for another
+upstream to answer within the objective."""
+CALLER_MIN_MS = 2_000
+CALLER_OBJECTIVES = 4
+CALLER_PAUSES = 8
+"""Clients disconnect from a stream that is silent for two seconds, four times its objective or
+eight times its pause objective, whichever is longest."""
+CALLER_MARGIN_MS = 50
+"""Reserved for the first event to reach the client."""
+MIN_TIMEOUT_MS = 200
+"""Lower bound of the timeouts; several times the usual answer time of an engine with free capacity.
+"""
+
+
+def first_byte_timeout_ms(route: Route, call: Call) -> float:
+    """Return the longest wait for the beginning of an answer, in ms."""
+    read_ms = call.prompt_tokens / SLOW_READ_TOKENS_PER_MS
+    return max(OBJECTIVE_FRACTION * route.objective_ms, MIN_TIMEOUT_MS) + read_ms
+
+
+def caller_timeout_ms(route: Route) -> float:
+    """Return how long the client of a stream waits for the first event, in ms.
+
+    A stream that starts later has no reader. A call that gets no engine within this time is refused
+    early enough for its client to retry.
+    """
+    longest_ms = max(
+        CALLER_MIN_MS,
+        CALLER_OBJECTIVES * route.objective_ms,
+        CALLER_PAUSES * route.pause_objective_ms,
+    )
+    return longest_ms - CALLER_MARGIN_MS
+
+
+def pause_timeout_ms(route: Route) -> float:
+    """Return the longest pause between two events, in ms."""
+    return max(PAUSE_FACTOR * route.pause_objective_ms, MIN_TIMEOUT_MS)
--- a/chestnutfall/forwarding/call.py
+++ b/chestnutfall/forwarding/call.py
@@ -1,4 +1,4 @@
-"""A client's request as it is passed on."""
+"""A client's request as it is forwarded."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One attempt of a client; method, target, headers and body reach the upstream unchanged.
+    """One client request; method, target, headers and body reach the upstream unchanged.
 
     Attributes
     ----------
@@ -20,15 +20,19 @@
     path : str
         Path alone, as the client sent it.
     arrived_ms, deadline_ms : int
-        Clock times of its arrival, and at which the client gives up.
+        Clock times at which the call arrived and at which the client gives up.
     adapter : AdapterName or None
-        What an engine must hold for it.
-    tokens : int or None
-        Tokens of prompt and answer that it names; None if it names none.
-    key_digest : str or None
-        Digest of the key that it bears; None if it bears none.
+        Adapter that an engine must hold to run the call.
+    prompt_tokens, output_tokens : int
+        Tokens of the prompt, and the most tokens of the answer.
+    parts : tuple of PromptPart
+        Parts of the prompt, with their tokens.
     resume_after : int or None
         Number of the last event that the client has, if it resumes a stream.
+    tokens : int or None
+        Tokens of prompt and answer stated in the call; None if it states none.
+    key_digest : str or None
+        Digest of the call's API key; None without a key.
     """
 
     request_id: str
--- a/chestnutfall/forwarding/caller_reply.py
+++ b/chestnutfall/forwarding/caller_reply.py
@@ -1,4 +1,4 @@
-"""Port back to the client."""
+"""Interface for answering a client."""
 
 from __future__ import annotations
 
@@ -8,28 +8,32 @@
 
 
 class CallerReply(ABC):
-    """One answer on one client connection."""
+    """One answer on one client connection.
+
+    An answer is either complete (`send_whole`), streamed (`start`, `write`, then `finish` or
+    `break_off`), or a refusal (`refuse`).
+    """
 
     @abstractmethod
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+    async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
+        """Send a complete answer."""
 
     @abstractmethod
     async def start(self, status: int, headers: Headers) -> None:
-        """Begin a streamed answer."""
+        """Send status and headers of a streamed answer."""
 
     @abstractmethod
     async def write(self, data: bytes) -> None:
-        """Send a part of it at once."""
+        """Send a part of the streamed answer without buffering."""
 
     @abstractmethod
     async def finish(self) -> None:
-        """End it as complete."""
+        """End the streamed answer as complete."""
 
     @abstractmethod
     def break_off(self) -> None:
-        """Close the connection such that the answer can't look complete."""
+        """Close the connection so that the client sees the answer as incomplete."""
 
     @abstractmethod
     async def refuse(self, status: int, reason: str, retry_after_ms: int | None) -> None:
-        """Send a final answer of our own."""
+        """Send a refusal made by this gateway, with a retry time unless it is None."""
--- a/chestnutfall/forwarding/drain.py
+++ b/chestnutfall/forwarding/drain.py
@@ -1,4 +1,4 @@
-"""Leaving without cutting anything off."""
+"""Draining of a server before its process ends."""
 
 from __future__ import annotations
 
@@ -8,59 +8,71 @@
 from ..clock import Clock
 
 log = logging.getLogger(__name__)
-UNTIL_BALANCED_MS = 2_500
-"""A balancer that asks every second takes a host out after two misses; half a second to spare. Each
-ms more is taken from the calls that come last, and these must end within the grace time: a draft
-that came 3.0 s after the request to stop was cut off when its host was killed at 8 s."""
-LAST_MOMENT_MS = 600
-"""Left of the grace time for closing connections and ending."""
+BALANCER_NOTICE_MS = 2_500
+"""Time for load balancers to stop sending new connections. A balancer that polls every second
+removes a host after two failed checks; half a second is spare. A longer time leaves less of the
+grace time to the last calls: at 3.0 s, a draft that arrived just before the end of this time was
+cut off when its host was killed at 8 s."""
+CLOSE_RESERVE_MS = 600
+"""Part of the grace time reserved for closing connections and ending the process."""
 POLL_MS = 10
-"""Small beside the time a request takes."""
+"""Interval between checks for calls in progress; short compared with a request."""
 QUIET_MS = 200
-"""A request that was sent before its client saw the last answer has arrived by then."""
+"""Time without any call after which the drain ends. A request that its client sent before it saw
+the last answer arrives within this time."""
 
 
 class Drainable(ABC):
-    """What accepts callers and can stop step by step."""
+    """A server that can stop serving clients step by step."""
 
     @abstractmethod
     def calls_in_progress(self) -> int:
-        """Requests without their final answer."""
+        """Return the number of requests without a final answer."""
 
     @abstractmethod
     def announce_leaving(self) -> None:
-        """Say "not ready", and tell clients to leave their connections."""
+        """Report "not ready" to load balancers, and ask clients to close their connections."""
 
     @abstractmethod
     def refuse_new(self) -> None:
-        """Refuse further requests, truthfully and with the time to come back."""
+        """Refuse further requests as not run, with a retry time."""
 
 
-async def drain(entry: Drainable, clock: Clock, grace_ms: int) -> None:
-    """Finish every request in progress, as far as the grace time allows."""
+async def drain(server: Drainable, clock: Clock, grace_ms: int) -> None:
+    """Finish the requests in progress before the process ends.
+
+    New requests are served for `BALANCER_NOTICE_MS` and refused afterwards. Returns once no call
+    has been in progress for `QUIET_MS`, or shortly before `grace_ms` is over.
+
+    Parameters
+    ----------
+    grace_ms : int
+        Time from now until the process is killed.
+    """
     asked_ms = clock.now_ms()
-    last_ms = asked_ms + grace_ms - LAST_MOMENT_MS
-    log.info("drain: begins with %d calls in progress", entry.calls_in_progress())
-    entry.announce_leaving()
-    # The balancer still sends new connections until it has seen us not ready, and clients come
-    # back on kept ones. Refusing them would fail callers for nothing, so they are served, and
-    # told to leave their connections; the last moment without any call is the one to end at.
+    last_ms = asked_ms + grace_ms - CLOSE_RESERVE_MS
+    log.info("drain: begins with %d calls in progress", server.calls_in_progress())
+    server.announce_leaving()
+    # Load balancers send new connections until they have seen this host as not ready, and clients
+    # reuse kept connections. Refusing these requests would fail clients needlessly, so they are
+    # served, and the clients are asked to close their connections. The drain ends after a moment
+    # without any call.
     quiet_since_ms = clock.now_ms()
     refusing = False
     while clock.now_ms() < last_ms:
         await clock.sleep_ms(POLL_MS)
         now_ms = clock.now_ms()
-        if not refusing and now_ms >= asked_ms + UNTIL_BALANCED_MS:
-            # A client can come back on a connection that was idle all the while. Its request may
-            # take longer than the grace time has left, and would be cut off half way.
+        if not refusing and now_ms >= asked_ms + BALANCER_NOTICE_MS:
+            # A client may send a request on a connection that was idle until now. The request may
+            # take longer than what is left of the grace time and would be cut off halfway.
             refusing = True
-            entry.refuse_new()
-        if entry.calls_in_progress():
+            server.refuse_new()
+        if server.calls_in_progress():
             quiet_since_ms = now_ms
-        elif now_ms >= asked_ms + UNTIL_BALANCED_MS and now_ms >= quiet_since_ms + QUIET_MS:
+        elif now_ms >= asked_ms + BALANCER_NOTICE_MS and now_ms >= quiet_since_ms + QUIET_MS:
             break
     log.info(
         "drain: ends after ms=%d with %d calls in progress",
         clock.now_ms() - asked_ms,
-        entry.calls_in_progress(),
+        server.calls_in_progress(),
     )
--- a/chestnutfall/forwarding/engine_places.py
+++ b/chestnutfall/forwarding/engine_selector.py
@@ -1,4 +1,4 @@
-"""Places on engines, given by the leading controller."""
+"""Selection of engines by the leading controller."""
 
 from __future__ import annotations
 
@@ -12,22 +12,23 @@
 from ..placement.run_times import RunTimes
 from ..signals import BACKING_OFF, UpstreamLoad
 from ..signals.known_signals import KnownSignals
-from . import patience
+from . import answer_timeouts
 from .fleet_client import FleetClient, LeaderLost
-from .place import NoPlace, Place, Places, Wanted
+from .place import NoPlace, Place, SelectionCriteria, UpstreamSelector
 
 log = logging.getLogger(__name__)
 LEADERLESS_WAIT_MS = 1_500
-"""An election takes about a second; a request waits this long for it if it has the time."""
+"""Longest wait of a call for a new leader, if its deadline allows. An election takes about a
+second."""
 NO_LEADER_RETRY_MS = 800
-"""A leader is elected within this time."""
+"""Retry delay for clients while there is no leader; a leader is elected within this time."""
 
 
-class EnginePlaces(Places):
-    """Asks the leader; without one, goes where it last said that the adapter is.
+class EngineSelector(UpstreamSelector):
+    """Asks the leader for an engine; without a leader, uses the last known adapter holders.
 
-    Sending on memory is safe: an engine that no longer holds the adapter, or another version of
-    it, refuses and runs nothing.
+    The last known holders are safe to use: an engine that no longer holds the adapter, or holds
+    another version of it, refuses the call and runs nothing.
     """
 
     def __init__(
@@ -44,21 +45,21 @@
         self._gateway = gateway
         self._data_centre = data_centre
         self._numbers = itertools.count()
-        self._without_leader: Counter[str] = Counter()
+        self._leaderless_sends: Counter[str] = Counter()
 
-    async def take(self, wanted: Wanted) -> Place:
-        give_up_ms = min(self._clock.now_ms() + LEADERLESS_WAIT_MS, wanted.until_ms)
+    async def select(self, criteria: SelectionCriteria) -> Place:
+        give_up_ms = min(self._clock.now_ms() + LEADERLESS_WAIT_MS, criteria.until_ms)
         while True:
-            req = self._request(wanted)
+            req = self._request(criteria)
             try:
                 answer = await self._ask(req)
             except LeaderLost:
-                place = self._from_memory(req, wanted.too_early)
+                place = self._from_last_holdings(req, criteria.lacked_adapter)
                 if place is not None:
                     return place
-                self._refuse_if_held_back(wanted.service.name)
+                self._refuse_if_held_back(criteria.service.name)
                 wait_ms = give_up_ms - self._clock.now_ms()
-                if wait_ms <= 0 or not await self._fleet.until_connected(wait_ms):
+                if wait_ms <= 0 or not await self._fleet.wait_for_leader(wait_ms):
                     raise NoPlace("no_leader", NO_LEADER_RETRY_MS) from None
                 continue
             if isinstance(answer, Reject):
@@ -68,7 +69,7 @@
                 return Place(
                     req.ticket, upstream, answer.version, answer.queued_ms, answer.loading_ms
                 )
-            self._fleet.tell(Release(req.ticket, RunOutcome.WITHDRAWN.value))
+            self._fleet.send(Release(req.ticket, RunOutcome.WITHDRAWN.value))
 
     def _refuse_if_held_back(self, service: str) -> None:
         held_back_ms = self.held_back_ms(service)
@@ -85,56 +86,66 @@
         except LeaderLost:
             raise
         except BaseException:
-            # The client left, or its time is over; a place kept for it would stay taken.
-            self._fleet.tell(Withdraw(req.ticket))
+            # The client has disconnected or the call is out of time. Without this message the
+            # leader would keep the engine's capacity reserved for the call.
+            self._fleet.send(Withdraw(req.ticket))
             raise
 
-    def give_back(
+    def release(
         self, place: Place, outcome: RunOutcome, times: RunTimes, load: UpstreamLoad | None
     ) -> None:
-        self._fleet.tell(Release(place.ticket, outcome.value, times))
+        self._fleet.send(Release(place.ticket, outcome.value, times))
 
-    def _request(self, wanted: Wanted) -> PlaceRequest:
-        call, now_ms = wanted.call, self._clock.now_ms()
+    def _request(self, criteria: SelectionCriteria) -> PlaceRequest:
+        call, now_ms = criteria.call, self._clock.now_ms()
         return PlaceRequest(
             f"{self._gateway}/{next(self._numbers)}",
-            wanted.service.name,
+            criteria.service.name,
             call.adapter or AdapterName("", ""),
             call.prompt_tokens,
             call.output_tokens,
             call.parts,
-            wanted.route.rank,
-            max(call.arrived_ms + wanted.route.objective_ms - now_ms, 0),
-            max(min(wanted.until_ms, _caller_leaves_ms(wanted)) - now_ms, 0),
+            criteria.route.rank,
+            max(call.arrived_ms + criteria.route.objective_ms - now_ms, 0),
+            max(min(criteria.until_ms, _caller_deadline_ms(criteria)) - now_ms, 0),
             self._data_centre,
-            wanted.avoid,
-            wanted.route.pause_objective_ms,
-            wanted.organisation,
+            criteria.avoid,
+            criteria.route.pause_objective_ms,
+            criteria.organisation,
         )
 
-    def _from_memory(self, req: PlaceRequest, lacking: tuple[str, ...]) -> Place | None:
-        """The least used engine that held the adapter when there was a leader.
+    def _from_last_holdings(
+        self, req: PlaceRequest, lacked_adapter: tuple[str, ...]
+    ) -> Place | None:
+        """Select the least used engine among the last known holders of the adapter.
 
-        Not one of those that turned out to lack it: nobody loads it there now, nor one that wants
-        nothing. One that names a limit gets no more than this gateway's share.
+        Engines in `lacked_adapter` are skipped, since no engine loads adapters without a leader,
+        and so are engines that are backing off. An engine with a rate limit gets no more than this
+        gateway's share of it.
         """
         found = (
             (held, upstream)
             for held in self._fleet.knowledge.holders(req.adapter)
             if (upstream := self._fleet.knowledge.upstream(held.instance)) is not None
-            and held.instance not in (*req.avoid, *lacking)
+            and held.instance not in (*req.avoid, *lacked_adapter)
             and self._signals.may_send(held.instance)
         )
-        for held, upstream in sorted(found, key=lambda one: self._without_leader[one[0].instance]):
+        for held, upstream in sorted(
+            found, key=lambda one: self._leaderless_sends[one[0].instance]
+        ):
             if self._signals.limits.may_send_without_leader(held.instance):
-                self._without_leader[held.instance] += 1
-                log.info("place: ticket=%s from memory instance=%s", req.ticket, held.instance)
+                self._leaderless_sends[held.instance] += 1
+                log.info(
+                    "place: ticket=%s from last known holders instance=%s",
+                    req.ticket,
+                    held.instance,
+                )
                 return Place(req.ticket, upstream, held.version)
         return None
 
 
-def _caller_leaves_ms(wanted: Wanted) -> int:
-    """Clock time at which the caller leaves unless the answer has begun."""
-    if not wanted.route.kind.streamed or wanted.started:
-        return wanted.until_ms
-    return int(wanted.call.arrived_ms + patience.caller_ms(wanted.route))
+def _caller_deadline_ms(criteria: SelectionCriteria) -> int:
+    """Return the clock time at which the client disconnects if no answer has begun."""
+    if not criteria.route.kind.streamed or criteria.started:
+        return criteria.until_ms
+    return int(criteria.call.arrived_ms + answer_timeouts.caller_timeout_ms(criteria.route))
--- a/chestnutfall/forwarding/event_splitter.py
+++ b/chestnutfall/forwarding/event_splitter.py
@@ -1,4 +1,4 @@
-"""Cutting a stream of server-sent events into whole events."""
+"""Splitting of a server-sent event stream into complete events."""
 
 from __future__ import annotations
 
@@ -8,34 +8,49 @@
 _END = b"\n\n"
 _ID = b"id:"
 MAX_EVENT_BYTES = 1024 * 1024
-"""A thousand times a usual event; bounds what a broken upstream can make us hold."""
+"""Limit on the bytes held for one event, against a faulty upstream; a thousand times the size of a
+usual event."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """The bytes of one event, and its number; None when it has none."""
+    """One server-sent event.
+
+    Attributes
+    ----------
+    data : bytes
+        The event's bytes, with the blank line that ends it.
+    number : int or None
+        Value of its `id` field; None if it has no numeric id.
+    """
 
     data: bytes
     number: int | None
 
 
 class EventSplitter:
-    """Yields events once they are whole.
+    """Splits received bytes into complete events.
 
-    An upstream may break off inside an event. What was passed on can't be taken back, so half an
-    event followed by the same one from a resumed run would spoil the client's stream.
+    An upstream may break off inside an event, and bytes sent to the client can't be withdrawn. Part
+    of an event followed by the same event from a resumed run would corrupt the client's stream.
     """
 
     def __init__(self) -> None:
         self._rest = b""
 
     @property
-    def is_clean(self) -> bool:
-        """Whether the bytes so far end with a whole event."""
+    def at_event_boundary(self) -> bool:
+        """Whether the bytes so far end with a complete event."""
         return not self._rest
 
     def feed(self, data: bytes) -> Iterator[StreamEvent]:
-        """Take bytes and yield the events that they complete."""
+        """Add received bytes and yield the events that they complete.
+
+        Raises
+        ------
+        ValueError
+            When an incomplete event exceeds `MAX_EVENT_BYTES`.
+        """
         *whole, self._rest = (self._rest + data).split(_END)
         for text in whole:
             yield StreamEvent(text + _END, _number(text))
--- a/chestnutfall/forwarding/final_answers.py
+++ b/chestnutfall/forwarding/final_answers.py
@@ -1,4 +1,4 @@
-"""Final answers of our own: refusals and broken streams."""
+"""Final answers made by the gateway itself: refusals and broken streams."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FinalAnswers:
-    """Tells callers, and the log, that a call gets no other answer."""
+    """Ends calls that get no answer from an upstream, and logs the reason."""
 
     def __init__(self, clock: Clock, metrics: Histograms) -> None:
         self._clock = clock
@@ -29,15 +29,19 @@
         reason: str,
         retry_after_ms: int | None,
     ) -> None:
-        """End a call; what the caller is told holds for all of its sends."""
+        """End a call without an upstream's answer.
+
+        A streamed answer that has begun is broken off. Otherwise the client gets a refusal whose
+        status is valid for all sends of the call together, so it may differ from `status`.
+        """
         call = progress.call
         if progress.started:
             log.info("call: id=%s broken off reason=%s", call.request_id, reason)
             self._metrics.count("broken_off")
             reply.break_off()
             return
-        # A refusal that says "not run" must hold for every send, not just for the last one.
-        # Symptom otherwise: the caller repeats a request whose first send did run.
+        # A status that states "not run" must hold for every send, not just for the last one.
+        # Otherwise the client repeats a request that an earlier send did run.
         executed = Executed.UNKNOWN if progress.runs else Executed.NO
         if status == 503 and executed is not Executed.NO:
             status = 502
@@ -56,7 +60,19 @@
         organisation: str = "",
         version: int = -1,
     ) -> None:
-        """Refuse a call; `organisation` and document `version` are those that decided it."""
+        """Refuse a call.
+
+        Parameters
+        ----------
+        reason : str
+            Machine-readable cause; also names the metric.
+        executed : Executed
+            Whether any send may have run the call.
+        organisation : str
+            Organisation that sent the call; empty if unknown or irrelevant.
+        version : int
+            Version of the document on which the refusal is based; -1 if irrelevant.
+        """
         log.info(
             "call: id=%s refused status=%d reason=%s executed=%s organisation=%s version=%d "
             "retry=%s ms=%d",
--- a/chestnutfall/forwarding/fleet_client.py
+++ b/chestnutfall/forwarding/fleet_client.py
@@ -1,4 +1,4 @@
-"""The gateway's stream to the leading controller."""
+"""The gateway's message stream to the leading controller."""
 
 from __future__ import annotations
 
@@ -29,51 +29,55 @@
 from ..quota.messages import AnswerQuota, AskQuota, QuotaNews, WasShort
 from ..signals.messages import BackoffHints, HeardBackoff
 from ..wire import RpcChannel
+from .first_message_timeouts import FirstMessageTimeouts
 from .fleet_knowledge import FleetKnowledge
-from .leader_patience import LeaderPatience
 from .recent_reports import RecentReports
 
 log = logging.getLogger(__name__)
-SILENT_MS = 3 * PULSE_MS
+STREAM_TIMEOUT_MS = 3 * PULSE_MS
 ISOLATED_MS = 1_500
-"""Time to ask each of five controllers twice."""
+"""Time without any controller's message after which the gateway counts as isolated; enough to ask
+each of five controllers twice."""
 CONNECT_MS = 150
-"""A connection takes some ms; a host that is down or cut off never answers."""
+"""Connecting takes a few ms; a host that is down or cut off never answers."""
 RETRY_MS = 60
-"""A tenth of an election; a controller answers a stream in a few ms."""
-REPEAT_MS = 100
-"""The leader answers at once; a repeat that waits longer for it comes too late to help."""
-TURN_MS = 100
-"""The same for a turn at an upstream, beyond the time that the call may wait for it."""
+"""Delay before the next controller is tried: a tenth of an election, while a controller answers a
+stream within a few ms."""
+REPEAT_TIMEOUT_MS = 100
+"""Longest wait for a repeat from the leader, which answers at once; a later repeat comes too late
+to help the client."""
+TURN_TIMEOUT_MS = 100
+"""Longest wait for the leader's answer about a turn, beyond the time that the call may wait for the
+turn itself."""
 CLOSE_S = 0.2
-"""A dead connection must not hold up the search for the next leader."""
+"""Bounds the closing of a dead connection, which would delay the search for the next leader."""
 
 
 class LeaderLost(ConnectionError):
-    """There is no stream to a leader now; the request was not placed."""
+    """There is no stream to a leader; the question was not answered."""
 
 
 class FleetClient:
-    """Follows the leader and asks it for places.
+    """Finds the leading controller, exchanges messages with it and asks it for decisions.
 
     Attributes
     ----------
     knowledge : FleetKnowledge
-        What the leader told last.
+        Routes, upstreams and adapter holders as last received from a leader.
     connected : bool
-        Whether a stream to a leader is up.
+        Whether there is a stream to a leader, and it has sent all upstreams.
     on_suspects : callable
-        Told which requests may end upstreams.
+        Called with the requests that may end upstreams.
     on_quotas : callable
-        Told which organisations are short of their quota.
+        Called with the organisations that are short of quota.
     was_short : callable
-        What to tell a new leader of those that were.
+        Returns the organisations that were short of quota, for a new leader.
     on_limits : callable
-        Told which upstreams name limits.
+        Called with the rate limits that upstreams state.
     on_hints : callable
-        Told which plain upstreams asked other gateways for time.
-    heard_again : callable
-        What to tell a new leader of what upstreams said.
+        Called with the plain upstreams that asked other gateways to back off.
+    signals_to_resend : callable
+        Returns the limits and backoffs received from upstreams, for a new leader.
     """
 
     def __init__(
@@ -84,55 +88,59 @@
         clock: Clock,
     ) -> None:
         self._gateway = gateway
-        self._first = controllers
+        self._configured = controllers
         self.knowledge = knowledge
         self._clock = clock
         self.connected = False
         self._answered_ms = clock.now_ms()
-        self._patience = LeaderPatience()
+        self._first_message_timeouts = FirstMessageTimeouts()
         self._out: asyncio.Queue[Any] = asyncio.Queue()
-        self._asked: dict[str | int, asyncio.Future[Any]] = {}
+        self._pending: dict[str | int, asyncio.Future[Any]] = {}
         self._numbers = itertools.count()
-        self._up = asyncio.Event()
+        self._connected_event = asyncio.Event()
         self._reports = RecentReports(clock)
         self.on_suspects: Callable[[SuspectRequests], None] = lambda suspects: None
-        self.on_quotas: Callable[[QuotaNews], None] = lambda news: None
+        self.on_quotas: Callable[[QuotaNews], None] = lambda update: None
         self.was_short: Callable[[], WasShort] = lambda: WasShort(())
         self.on_limits: Callable[[LimitsInForce], None] = lambda limits: None
         self.on_hints: Callable[[BackoffHints], None] = lambda hints: None
-        self.heard_again: Callable[[], tuple[HeardLimit | HeardBackoff, ...]] = lambda: ()
+        self.signals_to_resend: Callable[[], tuple[HeardLimit | HeardBackoff, ...]] = lambda: ()
 
     def use_controllers(self, controllers: tuple[str, ...]) -> None:
-        """Take the controllers that changed settings name."""
-        self._first = controllers
+        """Replace the configured controller addresses after a change of the settings."""
+        self._configured = controllers
 
-    # Asking
+    # Messages and questions
 
-    def tell(self, msg: Any) -> None:
-        """Send a message that needs no answer; it is dropped without a leader."""
+    def send(self, msg: Any) -> None:
+        """Send a message that needs no answer; it is dropped while there is no leader."""
         if self.connected:
             self._out.put_nowait(msg)
 
     def report(self, msg: CrashReport) -> None:
-        """Send a report, and once more to a leader that may not have heard of it."""
+        """Send a crash report now, and again to each new leader for a limited time."""
         self._reports.note(msg)
-        self.tell(msg)
+        self.send(msg)
 
     async def place(self, req: PlaceRequest) -> Grant | Reject:
-        """Ask for a place.
+        """Ask the leader to select an engine for a call.
 
         Raises
         ------
         LeaderLost
+            When there is no leader, or the stream ends before the answer.
         """
         answer: Grant | Reject = await self._ask(req.ticket, req)
         return answer
 
     async def borrow_repeat(self, service: str) -> bool:
-        """Ask for one repeat beyond this gateway's own share; False without a leader."""
+        """Ask for one repeat beyond this gateway's own share.
+
+        Returns False if the leader gives none, there is no leader, or it does not answer in time.
+        """
         asking = self.ask_numbered(lambda number: AskRepeat(number, service))
         try:
-            answer: AnswerRepeat = await self._clock.within_ms(REPEAT_MS, asking)
+            answer: AnswerRepeat = await self._clock.within_ms(REPEAT_TIMEOUT_MS, asking)
         except (LeaderLost, TimeoutError):
             return False
         return answer.given
@@ -140,104 +148,121 @@
     async def ask_turn(
         self, service: str, avoid: tuple[str, ...], organisation: str, rank: int, wait_ms: int
     ) -> AnswerTurn:
-        """Ask for a send to an upstream of a plain service that names a limit.
+        """Ask for a turn to send to one of a plain service's rate-limited upstreams.
+
+        Parameters
+        ----------
+        avoid : tuple of str
+            Instances that failed the call before.
+        rank : int
+            Urgency, 0 is first.
+        wait_ms : int
+            How long the call may wait for its turn.
 
         Raises
         ------
         LeaderLost
+            When there is no leader, or it does not answer in time.
         """
         asking = self.ask_numbered(
             lambda number: AskTurn(number, service, avoid, organisation, rank, wait_ms)
         )
         try:
-            answer: AnswerTurn = await self._clock.within_ms(wait_ms + TURN_MS, asking)
+            answer: AnswerTurn = await self._clock.within_ms(wait_ms + TURN_TIMEOUT_MS, asking)
         except TimeoutError as exc:
-            raise LeaderLost("no answer for a turn") from exc
+            raise LeaderLost("the leader did not answer a request for a turn in time") from exc
         return answer
 
     async def ask_numbered(self, question: Callable[[int], AskRepeat | AskQuota | AskTurn]) -> Any:
-        """Ask a question that is named by a number, and wait for its answer.
+        """Ask a question that is identified by a number, and return its answer.
+
+        Parameters
+        ----------
+        question : callable
+            Makes the message from the number.
 
         Raises
         ------
         LeaderLost
+            When there is no leader, or the stream ends before the answer.
         """
         number = next(self._numbers)
         return await self._ask(number, question(number))
 
     async def _ask(self, key: str | int, msg: PlaceRequest | AskRepeat | AskQuota | AskTurn) -> Any:
-        """Send a message and wait for the answer that names `key`.
+        """Send a message and wait for the answer that carries `key`.
 
         Raises
         ------
         LeaderLost
+            When there is no leader, or the stream ends before the answer.
         """
         if not self.connected:
-            raise LeaderLost("no leader")
+            raise LeaderLost("no stream to a leader")
         fut: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._asked[key] = fut
+        self._pending[key] = fut
         self._out.put_nowait(msg)
         try:
             return await fut
         finally:
-            self._asked.pop(key, None)
+            self._pending.pop(key, None)
 
     @property
     def isolated(self) -> bool:
-        """Whether no controller answered for some time, not even that it doesn't lead."""
+        """Whether no controller, leading or not, has sent a message for `ISOLATED_MS`."""
         return self._clock.now_ms() - self._answered_ms > ISOLATED_MS
 
-    async def until_connected(self, within_ms: float) -> bool:
-        """Wait for a leader; False when there is none in time."""
+    async def wait_for_leader(self, within_ms: float) -> bool:
+        """Wait up to `within_ms` for a leader; return whether there is one."""
         with contextlib.suppress(TimeoutError):
-            await self._clock.within_ms(within_ms, self._up.wait())
+            await self._clock.within_ms(within_ms, self._connected_event.wait())
         return self.connected
 
-    # The stream
+    # Stream to the leader
 
     async def run(self) -> None:
-        """Find the leader and follow it, until cancelled."""
+        """Find the leader and stay connected to it, until cancelled."""
         turn = 0
         hint = ""
         while True:
-            known = list(dict.fromkeys((*self._first, *self.knowledge.controllers)))
+            known = list(dict.fromkeys((*self._configured, *self.knowledge.controllers)))
             address = hint or known[turn % len(known)]
             turn += 1
             try:
                 hint = await self._follow(address)
             except Exception:
-                # Nobody waits for this task. If one strange message or an error of the RPC
+                # No other task awaits this one. If an unexpected message or an error of the RPC
                 # library ended it, the gateway would stay without a leader until its restart.
-                log.exception("leader: address=%s following failed", address)
+                log.exception("leader: address=%s stream failed unexpectedly", address)
                 hint = ""
             if not hint:
                 await self._clock.sleep_ms(RETRY_MS)
 
     async def _follow(self, address: str) -> str:
-        """Serve one stream to its end; the address of the leader if that was told."""
-        # A connection made for each stream can't be one that something between us forgot.
+        """Serve one stream until it ends; return the leader's address if the controller sent it."""
+        # Each stream gets a new connection, since a middlebox may have dropped an idle one.
         channel = RpcChannel(address, FLEET_CODEC)
         try:
             await self._clock.within_ms(CONNECT_MS, channel.connected())
-            return await self._converse(address, channel.stream(FLEET_METHOD))
+            return await self._serve_stream(address, channel.stream(FLEET_METHOD))
         except (grpc.aio.AioRpcError, asyncio.InvalidStateError, TimeoutError) as exc:
-            log.info("leader: address=%s stream ended: %s", address, _short(exc))
+            log.info("leader: address=%s stream ended: %s", address, _describe(exc))
             return ""
         finally:
             with contextlib.suppress(Exception):
                 await self._clock.within_ms(CLOSE_S * 1000, channel.close())
 
-    async def _converse(self, address: str, stream: Any) -> str:
-        """Take messages until the stream ends; the address of the leader if that was told."""
+    async def _serve_stream(self, address: str, stream: Any) -> str:
+        """Handle messages until the stream ends; return the leader's address if received."""
         writer = asyncio.ensure_future(self._write(stream))
         try:
             async for msg in self._read(stream, address):
                 if isinstance(msg, NotLeading):
                     return msg.leader
-                self._take(msg, address)
+                self._handle(msg, address)
             return ""
         finally:
-            self._lose(address)
+            self._on_lost(address)
             writer.cancel()
             stream.cancel()
 
@@ -249,29 +274,31 @@
             await stream.write(hello)
             if was_short.organisations:
                 await stream.write(was_short)
-            for heard in self.heard_again():
+            for heard in self.signals_to_resend():
                 await stream.write(heard)
             while True:
                 await stream.write(await self._out.get())
         except (grpc.aio.AioRpcError, asyncio.InvalidStateError) as exc:
-            log.debug("leader: writing ended: %s", _short(exc))
+            log.debug("leader: writing ended: %s", _describe(exc))
 
     async def _read(self, stream: Any, address: str) -> AsyncIterator[Any]:
         try:
-            msg = await self._clock.within_ms(self._patience.wait_ms(address), stream.read())
+            msg = await self._clock.within_ms(
+                self._first_message_timeouts.timeout_ms(address), stream.read()
+            )
         except TimeoutError:
-            self._patience.was_silent(address)
+            self._first_message_timeouts.note_timeout(address)
             raise
-        self._patience.spoke(address)
+        self._first_message_timeouts.note_message(address)
         while msg is not grpc.aio.EOF:
             self._answered_ms = self._clock.now_ms()
             yield msg
-            msg = await self._clock.within_ms(SILENT_MS, stream.read())
+            msg = await self._clock.within_ms(STREAM_TIMEOUT_MS, stream.read())
 
-    def _take(self, msg: Any, address: str) -> None:
+    def _handle(self, msg: Any, address: str) -> None:
         match msg:
             case Grant(key) | Reject(key) | AnswerRepeat(key) | AnswerQuota(key) | AnswerTurn(key):
-                fut = self._asked.get(key)
+                fut = self._pending.get(key)
                 if fut is not None and not fut.done():
                     fut.set_result(msg)
             case Pulse():
@@ -284,34 +311,35 @@
                 self.on_limits(msg)
             case BackoffHints():
                 self.on_hints(msg)
-            case news:
-                self.knowledge.take(news)
-                is_whole = isinstance(news, UpstreamsPart) and news.complete
+            case update:
+                self.knowledge.apply(update)
+                is_whole = isinstance(update, UpstreamsPart) and update.complete
                 if is_whole and not self.connected:
-                    self._join(address)
+                    self._on_connected(address)
 
-    def _join(self, address: str) -> None:
+    def _on_connected(self, address: str) -> None:
         self.connected = True
-        self._up.set()
+        self._connected_event.set()
         log.info("leader: connected address=%s", address)
-        # What answers said since the first words of this stream were written was told to nobody.
-        for heard in self.heard_again():
-            self.tell(heard)
-        # The leader before may have ended with these, or they came while there was none.
-        for report in self._reports.again():
-            self.tell(report)
-
-    def _lose(self, address: str) -> None:
+        # Signals received from upstreams since this stream began were not sent to any leader.
+        for heard in self.signals_to_resend():
+            self.send(heard)
+        # The previous leader may have ended before it stored these reports, or they were made while
+        # there was no leader.
+        for report in self._reports.to_resend():
+            self.send(report)
+
+    def _on_lost(self, address: str) -> None:
         if self.connected:
-            log.warning("leader: lost address=%s waiting=%d", address, len(self._asked))
+            log.warning("leader: lost address=%s waiting=%d", address, len(self._pending))
         self.connected = False
-        self._up.clear()
-        for fut in self._asked.values():
+        self._connected_event.clear()
+        for fut in self._pending.values():
             if not fut.done():
                 fut.set_exception(LeaderLost(address))
 
 
-def _short(exc: BaseException) -> str:
+def _describe(exc: BaseException) -> str:
     if isinstance(exc, grpc.aio.AioRpcError):
         return f"{exc.code().name} {exc.details()}"
     return repr(exc)
--- a/chestnutfall/forwarding/fleet_knowledge.py
+++ b/chestnutfall/forwarding/fleet_knowledge.py
@@ -1,4 +1,4 @@
-"""What the leader told this gateway last."""
+"""Fleet state as last received from the leader."""
 
 from __future__ import annotations
 
@@ -26,11 +26,15 @@
 from .route_source import RouteSource
 
 log = logging.getLogger(__name__)
-News = PutInForce | Controllers | UpstreamsPart | UpstreamsChange | GatewayCount | HoldingsChange
+FleetUpdate = (
+    PutInForce | Controllers | UpstreamsPart | UpstreamsChange | GatewayCount | HoldingsChange
+)
 
 
 class FleetKnowledge(RouteSource):
-    """Routes, upstreams and holdings; they stay in use while no leader can be reached.
+    """Routes, upstreams and adapter holders, as last received from a leader.
+
+    The state stays in use while no leader can be reached.
 
     Attributes
     ----------
@@ -49,46 +53,46 @@
 
     @property
     def version(self) -> int:
-        """Version of the document in force here; -1 before the first."""
+        """Version of the document in force on this gateway; -1 before the first one."""
         return self.table.document.version if self.table is not None else -1
 
     @property
     def gateways(self) -> int:
-        """Gateways there are, as far as is known."""
+        """Number of gateways that share budgets and limits, this one included."""
         return self._gateways.present
 
     def upstreams(self, service: str) -> Sequence[UpstreamRecord]:
-        """Upstreams of a service that take work."""
+        """Return the upstreams of a service that accept work."""
         return self._upstreams.of(service)
 
     def upstream(self, instance: str) -> UpstreamRecord | None:
-        """The upstream that takes work under this instance."""
+        """Return the upstream with this instance id; None if it does not accept work."""
         return self._upstreams.get(instance)
 
     def holders(self, adapter: AdapterName) -> Iterable[ReadyAdapter]:
-        """Engines that held an adapter when the leader last told."""
+        """Return the engines that hold an adapter, as last received from a leader."""
         return self._holders.of(adapter)
 
-    async def until_table(self, within_ms: float) -> RouteTable | None:
+    async def wait_for_table(self, within_ms: float) -> RouteTable | None:
         with contextlib.suppress(TimeoutError):
             await self._clock.within_ms(within_ms, self._has_table.wait())
         return self.table
 
-    def take(self, news: News) -> None:
-        """Take over what the leader tells."""
-        match news:
+    def apply(self, update: FleetUpdate) -> None:
+        """Apply an update from the leader."""
+        match update:
             case PutInForce(version, content):
-                # A document on its way from an earlier leader may come after a newer one.
+                # A document sent by an earlier leader may arrive after a newer one.
                 if version > self.version:
                     self._put_in_force(version, content)
             case Controllers(addresses):
                 self.controllers = addresses
             case UpstreamsPart() | UpstreamsChange():
-                self._upstreams.take(news)
+                self._upstreams.apply(update)
             case GatewayCount(gateways):
-                self._gateways.tell(gateways)
+                self._gateways.note_count(gateways)
             case HoldingsChange():
-                self._holders.take(news)
+                self._holders.apply(update)
 
     def _put_in_force(self, version: int, content: bytes) -> None:
         self.table = RouteTable(self._codec.decode(unpack(content)))
--- a/chestnutfall/forwarding/forwarded_call.py
+++ b/chestnutfall/forwarding/forwarded_call.py
@@ -10,24 +10,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardedCall:
-    """A call, its receiver, and what the receiver must know.
+    """A call with the upstream that receives it and the data sent along.
 
     Attributes
     ----------
     version : int
-        Version of the adapter that the engine must hold; 0 is any.
+        Version of the adapter that the engine must hold; 0 accepts any.
     rank : int
         Urgency, 0 is first.
     left_ms : int
-        Time after which the answer is worth nothing.
+        Time after which the answer is worthless to the client.
     resume_after : int or None
         Number of the last event that the client already has.
     fresh : bool
-        Whether a connection that was used before must not be taken.
+        Whether the send needs a new connection instead of a pooled one.
     silent_ms : float
         How long the upstream may be silent before its answer counts as lost.
     organisation : str
-        Whose call it is; empty where nobody needs a key.
+        Organisation that sent the call; empty if the route needs no key.
     """
 
     call: Call
--- a/chestnutfall/forwarding/forwarder.py
+++ b/chestnutfall/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Runs a client's call: route, place, sends, repeats, and its one final answer."""
+"""Processing of a client's call: routing, upstream selection, sends, repeats, final answer."""
 
 from __future__ import annotations
 
@@ -15,40 +15,41 @@
 from ..routes import Route, RouteTable, ServiceSpec
 from ..signals.known_signals import KnownSignals
 from .admission import Admission, Admitted, NotAdmitted
-from .after_send import AfterSend
 from .call import Call
 from .caller_reply import CallerReply
 from .final_answers import FinalAnswers
 from .organisation_counts import OrganisationCounts
-from .place import NoPlace, Places, Wanted
+from .place import NoPlace, SelectionCriteria, UpstreamSelector
 from .progress import Progress
 from .repeats import Repeats
+from .result_handler import ResultHandler
 from .route_source import RouteSource
 from .send_log import log_send
 from .send_result import HeldBack
 from .sender import Sender
 
 NOT_READY_RETRY_MS = 500
-"""A gateway has its configuration within half a second of a leader."""
+"""Retry delay without a document; a gateway has its document within half a second of a leader."""
 STARTING_MS = 1_500
-"""After all hosts lost power, controllers start together with the gateways, and lead within half a
-second of that. A gateway without a document any later than this is cut off from them."""
+"""How long after its start a gateway makes calls wait for the first document. After a power loss on
+all hosts, controllers start together with the gateways, and have a leader within half a second. A
+gateway without a document after this time is cut off from the controllers."""
 LEAVING_RETRY_MS = 50
-"""Another gateway takes the request at once; only this one is leaving."""
+"""Retry delay while this gateway drains; another gateway serves the request at once."""
 FINAL_MARGIN_MS = 15
-"""The final answer still has to reach the client before its time is over."""
+"""Reserved for the final answer to reach the client before its deadline."""
 
 
 class Forwarder:
-    """Takes each call to one final answer."""
+    """Gives each call exactly one final answer."""
 
     def __init__(
         self,
         routes: RouteSource,
         admission: Admission,
         repeats: Repeats,
-        engine_places: Places,
-        plain_places: Places,
+        engine_selector: UpstreamSelector,
+        plain_selector: UpstreamSelector,
         sender: Sender,
         signals: KnownSignals,
         quarantine: RequestQuarantine,
@@ -59,29 +60,31 @@
         self._routes = routes
         self._admission = admission
         self._repeats = repeats
-        self._engine_places = engine_places
-        self._plain_places = plain_places
+        self._engine_selector = engine_selector
+        self._plain_selector = plain_selector
         self._sender = sender
         self._quarantine = quarantine
         self._clock = clock
         self._metrics = metrics
         self._answers = FinalAnswers(clock, metrics)
-        self._after = AfterSend(repeats, signals, quarantine, self._answers, clock, metrics)
+        self._result_handler = ResultHandler(
+            repeats, signals, quarantine, self._answers, clock, metrics
+        )
         self._counts = OrganisationCounts(metrics)
         self._rng = rng
         self._refusing = False
         self._starting_until_ms = clock.now_ms() + STARTING_MS
 
     def refuse_new(self) -> None:
-        """Refuse every call from now on; this gateway is about to end."""
+        """Refuse every call from now on; called when this gateway is about to end."""
         self._refusing = True
 
     async def serve(self, call: Call, reply: CallerReply) -> None:
-        """Answer `call` by `reply`."""
+        """Process `call` and give its final answer through `reply`."""
         if self._refusing:
             await self._answers.refuse(call, reply, 503, "leaving", Executed.NO, LEAVING_RETRY_MS)
             return
-        table = self._routes.table or await self._first_table(call)
+        table = self._routes.table or await self._wait_for_first_table(call)
         if table is None:
             await self._answers.refuse(
                 call, reply, 503, "no_document", Executed.NO, NOT_READY_RETRY_MS
@@ -130,7 +133,8 @@
             route = replace(route, rank=holder.rank)
         service = table.services[route.service_for(self._rng.random())]
         self._repeats.note_request(service.name)
-        # One organisation's request says nothing of another's, also where they share a route.
+        # Requests of different organisations are told apart even if they share a route: one that
+        # ends upstreams must not quarantine an identical one of another organisation.
         caller = admitted.name or call.host
         fingerprint = fingerprint_of(caller, f"{call.method} {call.target}", call.body)
         progress = Progress(
@@ -148,55 +152,58 @@
             await self._answers.give_up(progress, reply, 504, "out_of_time", None)
         finally:
             if not progress.may_have_run:
-                self._admission.give_back(admitted)
+                self._admission.refund(admitted)
 
-    async def _first_table(self, call: Call) -> RouteTable | None:
-        """Wait for the first document while this gateway starts.
+    async def _wait_for_first_table(self, call: Call) -> RouteTable | None:
+        """Wait for the first document while this gateway starts; None if it is late.
 
-        Refused at once, every caller of the first moment comes back half a second later, all of
-        them at once, and late. Held, they are served as soon as the document is here: of 282
-        refusals after one outage of 87 gateways 4 were left.
+        Refusing calls during the start makes all their clients come back at the same moment, half a
+        second later. Calls that wait are served as soon as the document arrives: after a power loss
+        of 87 gateways this left 4 of 282 refusals.
         """
         left_ms = min(self._starting_until_ms, call.deadline_ms) - self._clock.now_ms()
-        return await self._routes.until_table(left_ms) if left_ms > 0 else None
+        return await self._routes.wait_for_table(left_ms) if left_ms > 0 else None
 
     async def _run(
         self, progress: Progress, route: Route, service: ServiceSpec, reply: CallerReply
     ) -> None:
-        places = self._plain_places if service.engine is None else self._engine_places
-        while not await self._is_quarantined(progress, reply):
-            wanted = Wanted(
+        selector = self._plain_selector if service.engine is None else self._engine_selector
+        while not await self._refuse_if_quarantined(progress, reply):
+            criteria = SelectionCriteria(
                 progress.call,
                 route,
                 service,
                 tuple(progress.avoid),
                 progress.until_ms,
                 progress.started,
-                tuple(progress.too_early),
+                tuple(progress.lacked_adapter),
                 progress.organisation,
             )
             try:
-                place = await places.take(wanted)
+                place = await selector.select(criteria)
             except NoPlace as exc:
                 if progress.holds_repeat:
-                    self._repeats.give_back(progress.service)
+                    self._repeats.refund(progress.service)
                 await self._answers.give_up(progress, reply, 503, exc.reason, exc.retry_after_ms)
                 return
-            # It may have waited for an adapter, and another copy of it ended the third upstream.
-            if await self._is_quarantined(progress, reply):
-                places.give_back(place, RunOutcome.WITHDRAWN, NO_TIMES, None)
+            # The call may have waited for its adapter. Meanwhile another copy of it may have ended
+            # enough upstreams to be quarantined.
+            if await self._refuse_if_quarantined(progress, reply):
+                selector.release(place, RunOutcome.WITHDRAWN, NO_TIMES, None)
                 return
             progress.sends += 1
             sent_ms = self._clock.now_ms()
-            result = await self._sender.send(progress, route, place, places, reply)
+            result = await self._sender.send(progress, route, place, selector, reply)
             log_send(progress, route, place, sent_ms, self._clock.now_ms(), result)
             if not isinstance(result, HeldBack):
                 progress.holds_repeat = False
-            if await self._after.is_final(progress, route, place, places, sent_ms, reply, result):
+            if await self._result_handler.handle(
+                progress, route, place, selector, sent_ms, reply, result
+            ):
                 return
 
-    async def _is_quarantined(self, progress: Progress, reply: CallerReply) -> bool:
-        """Give the final answer if the call must not be sent, or sent again."""
+    async def _refuse_if_quarantined(self, progress: Progress, reply: CallerReply) -> bool:
+        """Refuse the call if it is quarantined; return whether it was refused."""
         retry_ms = self._quarantine.retry_ms(progress.fingerprint)
         if retry_ms is None:
             return False
--- a/chestnutfall/forwarding/holders.py
+++ b/chestnutfall/forwarding/holders.py
@@ -1,4 +1,4 @@
-"""Which engines hold which adapters, as the leader last told."""
+"""Adapter holders as last received from the leader."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Holders:
-    """Engines by adapter."""
+    """Engines that hold each adapter, with the version that they hold."""
 
     def __init__(self) -> None:
         self._held: dict[AdapterName, dict[str, ReadyAdapter]] = {}
 
-    def take(self, change: HoldingsChange) -> None:
-        """Apply a change."""
+    def apply(self, change: HoldingsChange) -> None:
+        """Apply a change from the leader; a `whole` one replaces everything known before."""
         if change.whole:
             self._held.clear()
         for engine in change.engines:
@@ -26,7 +26,7 @@
                 self._held.setdefault(held.adapter, {})[held.instance] = held
 
     def of(self, adapter: AdapterName) -> Iterable[ReadyAdapter]:
-        """Engines that hold `adapter`."""
+        """Return the engines that hold `adapter`."""
         return self._held.get(adapter, {}).values()
 
     def _drop(self, instance: str, adapter: AdapterName) -> None:
--- a/chestnutfall/forwarding/known_upstreams.py
+++ b/chestnutfall/forwarding/known_upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams that take work, as far as this gateway was told."""
+"""Upstreams that accept work, as last received from the leader."""
 
 from __future__ import annotations
 
@@ -12,43 +12,43 @@
 class KnownUpstreams:
     """Upstreams by instance and by service.
 
-    A leader that is new to this gateway tells all of them, in parts. Until the last one is there,
-    what the leader before told stays in use.
+    A new leader sends all upstreams in parts. Until the last part has arrived, the state from the
+    previous leader stays in use.
     """
 
     def __init__(self) -> None:
-        self._held: dict[str, UpstreamRecord] = {}
-        self._coming: dict[str, UpstreamRecord] = {}
+        self._current: dict[str, UpstreamRecord] = {}
+        self._incoming: dict[str, UpstreamRecord] = {}
         self._by_service: dict[str, list[UpstreamRecord]] | None = None
 
     def get(self, instance: str) -> UpstreamRecord | None:
-        """The upstream that takes work under this instance."""
-        return self._held.get(instance)
+        """Return the upstream with this instance id; None if it does not accept work."""
+        return self._current.get(instance)
 
     def instances(self) -> set[str]:
-        """All that take work."""
-        return set(self._held)
+        """Return the instance ids of all upstreams that accept work."""
+        return set(self._current)
 
     def of(self, service: str) -> Sequence[UpstreamRecord]:
-        """Upstreams of a service."""
+        """Return the upstreams of a service."""
         if self._by_service is None:
             self._by_service = {}
-            for one in self._held.values():
+            for one in self._current.values():
                 self._by_service.setdefault(one.service, []).append(one)
         return self._by_service.get(service, ())
 
-    def take(self, news: UpstreamsPart | UpstreamsChange) -> None:
-        """Take over what the leader tells."""
-        match news:
+    def apply(self, update: UpstreamsPart | UpstreamsChange) -> None:
+        """Apply a part of the whole state, or a change to it, from the leader."""
+        match update:
             case UpstreamsPart(begins=begins, complete=complete):
                 if begins:
-                    self._coming = {}
-                self._coming.update((one.instance, one) for one in records_in(news))
+                    self._incoming = {}
+                self._incoming.update((one.instance, one) for one in records_in(update))
                 if not complete:
                     return
-                self._held, self._coming = self._coming, {}
+                self._current, self._incoming = self._incoming, {}
             case UpstreamsChange(dropped=dropped):
                 for instance in dropped:
-                    self._held.pop(instance, None)
-                self._held.update((one.instance, one) for one in added_by(news))
+                    self._current.pop(instance, None)
+                self._current.update((one.instance, one) for one in added_by(update))
         self._by_service = None
--- a/chestnutfall/forwarding/leader_quota_line.py
+++ b/chestnutfall/forwarding/leader_quota_client.py
@@ -1,4 +1,4 @@
-"""The leader as keeper of the quotas."""
+"""Quota decisions by the leading controller."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from .fleet_client import FleetClient, LeaderLost
 
 
-class LeaderQuotaLine(QuotaClient):
-    """Tells and asks over the gateway's stream to the leader."""
+class LeaderQuotaClient(QuotaClient):
+    """Reports quota use and asks for quota over the gateway's stream to the leader."""
 
     def __init__(self, fleet: FleetClient) -> None:
         self._fleet = fleet
@@ -22,7 +22,7 @@
         return self._fleet.isolated
 
     def report_use(self, use: UsedQuota) -> None:
-        self._fleet.tell(use)
+        self._fleet.send(use)
 
     async def ask_quota(self, organisation: str, units: float) -> AnswerQuota:
         try:
@@ -34,4 +34,4 @@
         return answer
 
     async def until_connected(self, within_ms: float) -> bool:
-        return await self._fleet.until_connected(within_ms)
+        return await self._fleet.wait_for_leader(within_ms)
--- a/chestnutfall/forwarding/place.py
+++ b/chestnutfall/forwarding/place.py
@@ -1,4 +1,4 @@
-"""An upstream chosen for one send."""
+"""Upstream selection for one send: criteria, result and interface."""
 
 from __future__ import annotations
 
@@ -14,7 +14,15 @@
 
 
 class NoPlace(Exception):
-    """No upstream can take the request in time; nothing ran."""
+    """No upstream can take the call in time; nothing ran.
+
+    Attributes
+    ----------
+    reason : str
+        Machine-readable cause.
+    retry_after_ms : int
+        Time after which the client may try again.
+    """
 
     def __init__(self, reason: str, retry_after_ms: int) -> None:
         super().__init__(reason)
@@ -24,12 +32,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """The upstream, and the version of the adapter that it must hold; 0 is any.
+    """The upstream selected for one send.
 
     Attributes
     ----------
+    ticket : str
+        Id of this selection; unique across gateways if the leader made it.
+    version : int
+        Version of the adapter that the engine must hold; 0 accepts any.
     queued_ms, loading_ms : int
-        How long it took to get the place, and then the adapter; for the logs.
+        Time spent waiting for the engine and then for the adapter; for the logs.
     has_other : bool
         Whether another upstream of the service could take the call instead.
     """
@@ -43,21 +55,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """What a place is wanted for.
+class SelectionCriteria:
+    """What the selected upstream must meet.
 
     Attributes
     ----------
     avoid : tuple of str
         Instances that failed this call before.
-    too_early : tuple of str
-        Instances that it came to before its adapter was there.
     until_ms : int
-        Clock time after which the answer is worth nothing.
+        Clock time after which the answer is worthless.
     started : bool
-        Whether the caller has the beginning of its answer.
+        Whether the client has the beginning of its answer.
+    lacked_adapter : tuple of str
+        Instances that refused this call once, since its adapter was not loaded yet.
     organisation : str
-        Whose call it is; empty where nobody needs a key.
+        Organisation that sent the call; empty if the route needs no key.
     """
 
     call: Call
@@ -66,31 +78,45 @@
     avoid: tuple[str, ...]
     until_ms: int
     started: bool = False
-    too_early: tuple[str, ...] = ()
+    lacked_adapter: tuple[str, ...] = ()
     organisation: str = ""
 
 
-class Places(ABC):
-    """Chooses upstreams for calls, and learns from how they end."""
+class UpstreamSelector(ABC):
+    """Selects upstreams for calls and learns from how the sends end.
+
+    Each selected place must be passed to `release` exactly once.
+    """
 
     @abstractmethod
-    async def take(self, wanted: Wanted) -> Place:
-        """Choose an upstream.
+    async def select(self, criteria: SelectionCriteria) -> Place:
+        """Select an upstream.
 
         Raises
         ------
         NoPlace
+            When no upstream can take the call in time.
         """
 
     @abstractmethod
     def held_back_ms(self, service: str) -> float:
-        """Time until an upstream of a service takes work from this gateway; 0 if one does.
+        """Return the time until an upstream of a service accepts work from this gateway.
 
-        Endless if all of them leave.
+        0 if one accepts work now or there is none; infinite if all of them are leaving.
         """
 
     @abstractmethod
-    def give_back(
+    def release(
         self, place: Place, outcome: RunOutcome, times: RunTimes, load: UpstreamLoad | None
     ) -> None:
-        """Tell how the send ended."""
+        """Release a place after its send.
+
+        Parameters
+        ----------
+        outcome : RunOutcome
+            How the send ended; `WITHDRAWN` if nothing was sent.
+        times : RunTimes
+            How fast the upstream answered.
+        load : UpstreamLoad or None
+            Load that the upstream reported with its answer.
+        """
--- a/chestnutfall/forwarding/plain_places.py
+++ b/chestnutfall/forwarding/plain_selector.py
@@ -1,4 +1,4 @@
-"""Choosing among upstreams that all can do the same."""
+"""Selection among interchangeable upstreams of a plain service."""
 
 from __future__ import annotations
 
@@ -16,34 +16,50 @@
 from ..signals import BACKING_OFF, UpstreamLoad
 from ..signals.known_signals import KnownSignals
 from .limited_turns import AskForTurn, LimitedTurns
-from .place import NoPlace, Place, Places, Wanted
+from .place import NoPlace, Place, SelectionCriteria, UpstreamSelector
 
 BUSY_COST_MS = 20.0
-"""One more request at an upstream makes the next wait about a short request's time."""
+"""Cost of each request in progress at an upstream, about the time of a short request."""
 OTHER_DATA_CENTRE_MS = 6.0
-"""Round trip to another data centre, and its traffic, which costs money."""
+"""Cost of another data centre: the round trip, and traffic that is paid for."""
 AVOIDED_MS = 10_000.0
-"""More than any load or delay adds up to, so it is the last choice, but still one."""
+"""Cost of an upstream to avoid. More than any sum of load and delay, so that it is selected only as
+a last resort."""
 LOAD_FRESH_MS = 250
-"""A load that an upstream told is old after about ten short requests."""
-MOST_WEIGHED = 24
-"""Upstreams that one choice looks at. The best of so many drawn by chance is nearly as good as the
-best of all, and a gateway before a thousand upstreams takes as long as before a few."""
+"""How long a reported load counts; it is outdated after about ten short requests."""
+MAX_WEIGHED = 24
+"""Upstreams compared for one call. The best of a random sample of this size is nearly as good as
+the best of all, and the time per call stays the same for a thousand upstreams as for a few."""
 
 
 @dataclass(slots=True)
 class _Known:
-    """What this gateway knows of one upstream."""
+    """State of one upstream on this gateway.
+
+    Attributes
+    ----------
+    own : int
+        Requests of this gateway in progress there.
+    others : float
+        Requests of other gateways there, by the last reported load.
+    places : int
+        Requests that it runs at once, as it last reported.
+    loads_heard_ms : int
+        Clock time of the last reported load.
+    """
 
     health: UpstreamHealth = field(default_factory=UpstreamHealth)
     own: int = 0
     others: float = 0.0
     places: int = 1
-    told_ms: int = -LOAD_FRESH_MS
+    loads_heard_ms: int = -LOAD_FRESH_MS
 
 
-class PlainPlaces(Places):
-    """Least loaded by own count and by what upstreams told, near ones first."""
+class PlainSelector(UpstreamSelector):
+    """Selects the least loaded upstream and prefers the own data centre.
+
+    The load is this gateway's requests in progress plus the load that the upstream last reported.
+    """
 
     def __init__(
         self,
@@ -63,33 +79,36 @@
         self._known: dict[str, _Known] = {}
         self._numbers = itertools.count()
 
-    async def take(self, wanted: Wanted) -> Place:
-        upstreams = self._weighed(self._wanting(wanted.service.name))
-        by_cost = sorted(upstreams, key=lambda one: self._cost_ms(one, wanted.avoid))
+    async def select(self, criteria: SelectionCriteria) -> Place:
+        upstreams = self._weighed(self._accepting(criteria.service.name))
+        by_cost = sorted(upstreams, key=lambda one: self._cost_ms(one, criteria.avoid))
         chosen = by_cost[0]
         if self._signals.limits.per_s(chosen.instance) is not None:
-            can_take = [one for one in by_cost if self._can_take(one, wanted.avoid)]
-            chosen = await self._turns.choose(wanted, can_take or by_cost, self._upstreams)
+            can_take = [one for one in by_cost if self._can_take(one, criteria.avoid)]
+            chosen = await self._turns.choose(criteria, can_take or by_cost, self._upstreams)
         known = self._of(chosen)
-        if known.health.is_ejected(self._clock.now_ms()) and chosen.instance in wanted.avoid:
+        if known.health.is_ejected(self._clock.now_ms()) and chosen.instance in criteria.avoid:
             raise NoPlace("unreachable", NO_UPSTREAM_RETRY_MS)
         known.own += 1
-        has_other = any(self._can_take(one, wanted.avoid) for one in upstreams if one is not chosen)
+        has_other = any(
+            self._can_take(one, criteria.avoid) for one in upstreams if one is not chosen
+        )
         return Place(f"plain-{next(self._numbers)}", chosen, 0, has_other=has_other)
 
-    def _wanting(self, service: str) -> Sequence[UpstreamRecord]:
-        """Upstreams that take work from this gateway.
+    def _accepting(self, service: str) -> Sequence[UpstreamRecord]:
+        """Return the upstreams that accept work from this gateway.
 
         Raises
         ------
         NoPlace
+            When there is none, or all of them are backing off.
         """
         upstreams = self._upstreams(service)
         if not upstreams:
             raise NoPlace("no_upstream", NO_UPSTREAM_RETRY_MS)
-        wanting = [one for one in upstreams if self._signals.may_send(one.instance)]
-        if wanting:
-            return wanting
+        accepting = [one for one in upstreams if self._signals.may_send(one.instance)]
+        if accepting:
+            return accepting
         held_back_ms = self.held_back_ms(service)
         raise NoPlace(BACKING_OFF, self._signals.caller_retry_ms(service, held_back_ms))
 
@@ -97,9 +116,9 @@
         return self._signals.held_back_ms(one.instance for one in self._upstreams(service))
 
     def _weighed(self, upstreams: Sequence[UpstreamRecord]) -> Sequence[UpstreamRecord]:
-        if len(upstreams) <= MOST_WEIGHED:
+        if len(upstreams) <= MAX_WEIGHED:
             return upstreams
-        return self._rng.sample(upstreams, MOST_WEIGHED)
+        return self._rng.sample(upstreams, MAX_WEIGHED)
 
     def _can_take(self, upstream: UpstreamRecord, avoid: tuple[str, ...]) -> bool:
         if self._signals.backoffs.probably_rejects(upstream.instance):
@@ -107,7 +126,7 @@
         shunned = self._of(upstream).health.is_ejected(self._clock.now_ms())
         return not shunned and upstream.instance not in avoid
 
-    def give_back(
+    def release(
         self, place: Place, outcome: RunOutcome, times: RunTimes, load: UpstreamLoad | None
     ) -> None:
         known = self._of(place.upstream)
@@ -119,7 +138,7 @@
         if load is not None:
             known.others = max(load.running + load.waiting - known.own - 1, 0)
             known.places = max(load.places, 1)
-            known.told_ms = now_ms
+            known.loads_heard_ms = now_ms
 
     def _of(self, upstream: UpstreamRecord) -> _Known:
         if upstream.instance not in self._known:
@@ -137,7 +156,7 @@
         known = self._of(upstream)
         now_ms = self._clock.now_ms()
         busy = float(known.own)
-        if now_ms - known.told_ms < LOAD_FRESH_MS:
+        if now_ms - known.loads_heard_ms < LOAD_FRESH_MS:
             busy += known.others
         cost_ms = BUSY_COST_MS * busy / known.places + known.health.cost_ms(now_ms)
         if upstream.data_centre != self._data_centre:
--- a/chestnutfall/forwarding/progress.py
+++ b/chestnutfall/forwarding/progress.py
@@ -1,4 +1,4 @@
-"""How far a call has come over all its sends."""
+"""State of a call over all its sends."""
 
 from __future__ import annotations
 
@@ -7,30 +7,31 @@
 from ..signals import NO_SIGNALS, UpstreamSignals
 from .call import Call
 
-MOST_GAPS = 256
-"""More than the events of most streams; enough for a median, and a bound for endless ones."""
+MAX_GAPS = 256
+"""Limit on the recorded gaps of an endless stream. Most streams have fewer events, and a median
+needs no more."""
 
 
 @dataclass(slots=True)
 class Progress:
-    """What holds for a call from one send to the next.
+    """State of a call that is kept from one send to the next.
 
     Attributes
     ----------
     until_ms : int
-        Clock time by which it must have its final answer.
+        Clock time by which the call must have its final answer.
     service : str
-        The service that it goes to.
+        Service to which the call is routed.
     fingerprint : str
-        The same for each call with this content, at any gateway.
+        Digest of caller, path and body; the same at every gateway.
     organisation : str
-        Whose call it is; empty where nobody needs a key.
+        Organisation that sent the call; empty if the route needs no key.
     sends : int
-        Sends so far.
+        Sends so far, including one in progress.
     refusals : int
         Sends of which it is proven that nothing ran.
     runs : int
-        Sends that may have run.
+        Ended sends that may have run.
     started : bool
         Whether the client has the beginning of an answer.
     last_event : int or None
@@ -38,17 +39,17 @@
     first_ms : int
         Time from the call's arrival to the first part of its answer; -1 before that.
     pause_ms : int
-        Longest time between two parts of its answer.
+        Longest time between two parts of the answer.
     avoid : list of str
-        Instances that failed it.
-    too_early : list of str
-        Instances that it came to before its adapter was there.
+        Instances that failed the call.
+    lacked_adapter : list of str
+        Instances that refused the call once, since its adapter was not loaded yet.
     signals : UpstreamSignals
-        What the last answer said of its upstream.
+        Signals of the upstream in its last answer.
     holds_repeat : bool
-        Whether a repeat was taken for it that is not sent yet.
+        Whether a repeat was taken from the budget for a send that has not begun.
     gaps_ms : list of int
-        The first `MOST_GAPS` times between two parts of its answer.
+        The first `MAX_GAPS` times between two parts of the answer.
     """
 
     call: Call
@@ -64,36 +65,41 @@
     first_ms: int = -1
     pause_ms: int = 0
     avoid: list[str] = field(default_factory=list)
-    too_early: list[str] = field(default_factory=list)
+    lacked_adapter: list[str] = field(default_factory=list)
     signals: UpstreamSignals = NO_SIGNALS
     holds_repeat: bool = False
     gaps_ms: list[int] = field(default_factory=list)
-    _part_ms: int = 0
+    _last_part_ms: int = 0
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an upstream may have begun to work on it, also by a send in progress."""
+        """Whether an upstream may have begun to run the call, including the current send."""
         return self.sends > self.refusals
 
-    def note_refusal(self, instance: str, came_too_early: bool) -> None:
-        """Note that an upstream refused it, so that nothing ran.
+    def note_refusal(self, instance: str, lacks_adapter: bool) -> None:
+        """Record that an upstream refused the call and ran nothing.
 
-        The adapter that one engine lacks is nearly always on its way there. Placed elsewhere, the
-        call waits for a second load, which takes the place of another adapter and is paid for;
-        placed there again, it waits for the rest of the first. An engine that refuses it for that
-        twice is left: its load was lost.
+        An adapter that an engine lacks is nearly always being loaded there. On another engine the
+        call would wait for a second load, which is paid for and evicts another adapter; on the same
+        engine it waits only for the rest of the first load. An engine that lacks the adapter a
+        second time is avoided, since its load has failed.
+
+        Parameters
+        ----------
+        lacks_adapter : bool
+            Whether the upstream refused because the adapter is not loaded.
         """
-        if came_too_early and instance not in self.too_early:
-            self.too_early.append(instance)
+        if lacks_adapter and instance not in self.lacked_adapter:
+            self.lacked_adapter.append(instance)
         else:
             self.avoid.append(instance)
 
     def note_part(self, now_ms: int) -> None:
-        """Note that a part of the answer goes to the client."""
+        """Record that a part of the answer is sent to the client at `now_ms`."""
         if self.first_ms < 0:
             self.first_ms = now_ms - self.call.arrived_ms
         else:
-            self.pause_ms = max(self.pause_ms, now_ms - self._part_ms)
-            if len(self.gaps_ms) < MOST_GAPS:
-                self.gaps_ms.append(now_ms - self._part_ms)
-        self._part_ms = now_ms
+            self.pause_ms = max(self.pause_ms, now_ms - self._last_part_ms)
+            if len(self.gaps_ms) < MAX_GAPS:
+                self.gaps_ms.append(now_ms - self._last_part_ms)
+        self._last_part_ms = now_ms
--- a/chestnutfall/forwarding/repeats.py
+++ b/chestnutfall/forwarding/repeats.py
@@ -1,4 +1,4 @@
-"""Which repeats this gateway may send."""
+"""Budget of repeated sends on this gateway."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from ..settings.repeat_bounds import RepeatBounds
 from .shared_retry_budget import SharedRetryBudget
 
-UNUSED_MS = 1_000
-"""How long a repeat that was not sent may still be; it counts from when it was taken."""
+UNSENT_LIFE_MS = 1_000
+"""How long after it was taken a repeat that was not sent can still be used."""
 
 
 class Repeats:
-    """This gateway's own share for each service, and beyond it what the leader gives.
+    """Bounds repeats per service: this gateway's share first, then repeats from the leader.
 
     Parameters
     ----------
     gateways : callable
-        How many gateways share the bound.
+        Returns the number of gateways that share the bound.
     borrow : callable
-        Asks the leader for one repeat for a service; False when it gives none.
+        Asks the leader for one repeat for a service; False if it gives none.
     """
 
     def __init__(
@@ -38,39 +38,40 @@
         self._clock = clock
         self._rng = rng
         self._own: dict[str, SharedRetryBudget] = {}
-        self._unused: dict[str, SlidingWindow] = {}
+        self._unsent: dict[str, SlidingWindow] = {}
 
     def note_request(self, service: str) -> None:
-        """Count a client's request."""
-        self._of(service).note_request()
+        """Count a client's request, which raises the budget of its service."""
+        self._budget(service).note_request()
 
-    def give_back(self, service: str) -> None:
-        """Take back a repeat that was not sent."""
-        self._unused.setdefault(service, SlidingWindow(UNUSED_MS)).note(self._clock.now_ms())
+    def refund(self, service: str) -> None:
+        """Return a repeat that was taken but not sent."""
+        self._unsent.setdefault(service, SlidingWindow(UNSENT_LIFE_MS)).note(self._clock.now_ms())
 
-    def unused(self, service: str) -> int:
-        """Repeats that were taken and not sent, and may still be."""
-        unused = self._unused.get(service)
-        return unused.count(self._clock.now_ms()) if unused is not None else 0
+    def unsent(self, service: str) -> int:
+        """Return the number of repeats that were returned unsent and can still be used."""
+        unsent = self._unsent.get(service)
+        return unsent.count(self._clock.now_ms()) if unsent is not None else 0
 
     async def spend(self, service: str, upstream_is_busy: bool) -> bool:
-        """Take one repeat; False when there is none left.
+        """Take one repeat; return False if none is left.
 
         Parameters
         ----------
         upstream_is_busy : bool
-            Whether the send before ended because its upstream has too much to do.
+            Whether the previous send ended because its upstream is overloaded. Such a call gets no
+            repeat from the leader.
         """
-        if self.unused(service):
-            self._unused[service].drop_oldest()
+        if self.unsent(service):
+            self._unsent[service].drop_oldest()
             return True
-        if self._of(service).spend(self._gateways()):
+        if self._budget(service).spend(self._gateways()):
             return True
-        # When upstreams fail a part of what they run, each repeat helps its caller. When there are
-        # too few of them, each one adds to the load that made it necessary.
+        # If upstreams fail some of their requests, each repeat helps a client. If there are too few
+        # upstreams, each repeat adds to the load that made it necessary.
         return not upstream_is_busy and await self._borrow(service)
 
-    def _of(self, service: str) -> SharedRetryBudget:
+    def _budget(self, service: str) -> SharedRetryBudget:
         if service not in self._own:
             self._own[service] = SharedRetryBudget(self._bounds, self._clock, self._rng)
         return self._own[service]
--- a/chestnutfall/forwarding/after_send.py
+++ b/chestnutfall/forwarding/result_handler.py
@@ -1,4 +1,4 @@
-"""What follows a send: the final answer, or another send."""
+"""Handling of a send's result: a final answer to the client, or another send."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ..signals.known_signals import KnownSignals
 from .caller_reply import CallerReply
 from .final_answers import FinalAnswers
-from .place import Place, Places
+from .place import Place, UpstreamSelector
 from .progress import Progress
 from .repeats import Repeats
 from .send_result import Delivered, Failed, HeldBack, Lost, Refused, SendResult
@@ -21,13 +21,15 @@
 from .upstream_api import SILENT
 
 MAX_SENDS = 6
-"""Refused sends cost little, but each counts as a repeat for the upstream that refuses."""
+"""Upper bound on the sends of one call. Refused sends are cheap, but each one counts as a repeat
+for the upstream that refuses."""
 BROKEN_RETRY_MS = 500
-"""An upstream that refuses or fails is left by others within this time."""
+"""Retry delay for clients after a refusal. Within this time calls stop going to an upstream that
+refuses or fails."""
 
 
-class AfterSend:
-    """Ends a call after a send, or prepares the next one."""
+class ResultHandler:
+    """Decides after each send whether the call ends or is sent again."""
 
     def __init__(
         self,
@@ -45,66 +47,84 @@
         self._clock = clock
         self._metrics = metrics
 
-    async def is_final(
+    async def handle(
         self,
         progress: Progress,
         route: Route,
         place: Place,
-        places: Places,
+        selector: UpstreamSelector,
         sent_ms: int,
         reply: CallerReply,
         result: SendResult,
     ) -> bool:
-        """Give the final answer, or prepare the next send and return False."""
+        """Handle the result of a send.
+
+        Parameters
+        ----------
+        sent_ms : int
+            Clock time at which the send began.
+
+        Returns
+        -------
+        bool
+            True if the client has its final answer; False if the caller must send the call again.
+        """
         match result:
             case Delivered():
                 self._quarantine.answered(progress.fingerprint)
                 self._metrics.observe("answer_ms", self._clock.now_ms() - progress.call.arrived_ms)
                 return True
             case HeldBack():
-                return await self._is_held_back_for_good(progress, places, reply)
+                return await self._handle_held_back(progress, selector, reply)
             case Refused(code):
-                return await self._after_refusal(progress, place, places, reply, code)
+                return await self._handle_refusal(progress, place, selector, reply, code)
             case Lost(code):
-                return await self._after_loss(progress, route, place, sent_ms, reply, code)
+                return await self._handle_loss(progress, route, place, sent_ms, reply, code)
             case Failed():
-                return await self._after_failure(progress, route, place, places, reply, result)
+                return await self._handle_failure(progress, route, place, selector, reply, result)
         assert_never(result)
 
-    async def _is_held_back_for_good(
-        self, progress: Progress, places: Places, reply: CallerReply
+    async def _handle_held_back(
+        self, progress: Progress, selector: UpstreamSelector, reply: CallerReply
     ) -> bool:
-        # Nothing was sent, so that another place costs no repeat.
+        # Nothing was sent, so selecting another upstream costs no repeat.
         progress.refusals += 1
         self._metrics.count("sends_held_back")
         if progress.sends < MAX_SENDS:
             return False
-        held_back_ms = places.held_back_ms(progress.service) or BROKEN_RETRY_MS
-        await self._back_off(progress, reply, held_back_ms)
+        held_back_ms = selector.held_back_ms(progress.service) or BROKEN_RETRY_MS
+        await self._refuse_backing_off(progress, reply, held_back_ms)
         return True
 
-    async def _back_off(self, progress: Progress, reply: CallerReply, held_back_ms: float) -> None:
+    async def _refuse_backing_off(
+        self, progress: Progress, reply: CallerReply, held_back_ms: float
+    ) -> None:
         retry_ms = self._signals.caller_retry_ms(progress.service, held_back_ms)
         await self._answers.give_up(progress, reply, 503, BACKING_OFF, retry_ms)
 
-    async def _after_refusal(
-        self, progress: Progress, place: Place, places: Places, reply: CallerReply, code: str
+    async def _handle_refusal(
+        self,
+        progress: Progress,
+        place: Place,
+        selector: UpstreamSelector,
+        reply: CallerReply,
+        code: str,
     ) -> bool:
         progress.refusals += 1
-        held_back_ms = places.held_back_ms(progress.service)
+        held_back_ms = selector.held_back_ms(progress.service)
         if held_back_ms:
-            await self._back_off(progress, reply, held_back_ms)
+            await self._refuse_backing_off(progress, reply, held_back_ms)
             return True
         is_full = code == NotRun.FULL.value
-        # A full upstream that is the last of its service would refuse again at once.
+        # Without another upstream of the service, a repeat would reach the same full one again.
         is_useless = is_full and not place.has_other
-        if not is_useless and await self._may_repeat(progress, upstream_is_busy=is_full):
+        if not is_useless and await self._take_repeat(progress, upstream_is_busy=is_full):
             progress.note_refusal(place.upstream.instance, code == NotRun.ABSENT.value)
             return False
         await self._answers.give_up(progress, reply, 503, code, BROKEN_RETRY_MS)
         return True
 
-    async def _after_loss(
+    async def _handle_loss(
         self,
         progress: Progress,
         route: Route,
@@ -117,21 +137,21 @@
         upstream = place.upstream
         progress.avoid.append(upstream.instance)
         self._quarantine.broke(progress.fingerprint, upstream.instance, upstream.address, sent_ms)
-        # Non-idempotent: never repeated once bytes may have reached the upstream. It may have run,
-        # and a second run would send its caller two results.
-        if self._may_run_again(progress, route) and await self._may_repeat(
+        # A non-idempotent call is never repeated once bytes may have reached the upstream: it may
+        # have run, and a second run would give the client two results.
+        if self._may_run_again(progress, route) and await self._take_repeat(
             progress, upstream_is_busy=code == SILENT
         ):
             return False
         await self._answers.give_up(progress, reply, 502, code, None)
         return True
 
-    async def _after_failure(
+    async def _handle_failure(
         self,
         progress: Progress,
         route: Route,
         place: Place,
-        places: Places,
+        selector: UpstreamSelector,
         reply: CallerReply,
         failed: Failed,
     ) -> bool:
@@ -141,23 +161,24 @@
         if (
             failed.status >= 500
             and self._may_run_again(progress, route)
-            and not places.held_back_ms(progress.service)
-            and await self._may_repeat(progress, upstream_is_busy=False)
+            and not selector.held_back_ms(progress.service)
+            and await self._take_repeat(progress, upstream_is_busy=False)
         ):
             return False
-        # By these an upstream tells of itself that nothing ran. Passed on after another one may
-        # have run the call, they would promise it for all, and its caller would send it again.
+        # With these statuses an upstream states that it ran nothing. After an earlier send may have
+        # run the call, relaying one would claim this for all sends, and the client would send the
+        # call again.
         says_not_run = failed.status in NOT_RUN_STATUSES and progress.runs > 1
         if progress.started or says_not_run:
             await self._answers.give_up(progress, reply, 502, "upstream_failed", None)
         else:
-            await reply.whole(failed.status, failed.headers, failed.body)
+            await reply.send_whole(failed.status, failed.headers, failed.body)
         return True
 
     def _may_run_again(self, progress: Progress, route: Route) -> bool:
         return route.kind.idempotent and progress.runs < route.attempts
 
-    async def _may_repeat(self, progress: Progress, upstream_is_busy: bool) -> bool:
+    async def _take_repeat(self, progress: Progress, upstream_is_busy: bool) -> bool:
         if progress.sends >= MAX_SENDS or self._clock.now_ms() >= progress.until_ms:
             return False
         if await self._repeats.spend(progress.service, upstream_is_busy):
--- a/chestnutfall/forwarding/route_source.py
+++ b/chestnutfall/forwarding/route_source.py
@@ -1,4 +1,4 @@
-"""Where the routes in force come from."""
+"""Interface to the routes in force."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class RouteSource(ABC):
-    """The routes in force on this gateway.
+    """Provides the routes in force on this gateway.
 
     Attributes
     ----------
     table : RouteTable or None
-        Routes in force here; None before the first document.
+        The routes; None before the first document.
     """
 
     table: RouteTable | None = None
 
     @abstractmethod
-    async def until_table(self, within_ms: float) -> RouteTable | None:
-        """Wait for the first document; None when it does not come in time."""
+    async def wait_for_table(self, within_ms: float) -> RouteTable | None:
+        """Wait up to `within_ms` for the first document; return None if it does not come."""
--- a/chestnutfall/forwarding/send_log.py
+++ b/chestnutfall/forwarding/send_log.py
@@ -17,7 +17,7 @@
 def log_send(
     progress: Progress, route: Route, place: Place, sent_ms: int, now_ms: int, result: SendResult
 ) -> None:
-    """Write what became of a send that began at `sent_ms`."""
+    """Log the result of a send that began at `sent_ms` and ended at `now_ms`."""
     call = progress.call
     log.info(
         "call: id=%s content=%s route=%s organisation=%s adapter=%s send=%d instance=%s version=%d "
--- a/chestnutfall/forwarding/send_result.py
+++ b/chestnutfall/forwarding/send_result.py
@@ -1,4 +1,4 @@
-"""The closed union of what became of one send."""
+"""Result of one send, as a closed union."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 from .call import Headers
 
 TURNED_AWAY = "turned_away"
-"""Code of a refusal by an upstream that asks this gateway for time."""
+"""Code of a refusal by an upstream that asks this gateway to back off."""
 
 
 @dataclass(frozen=True, slots=True)
 class Delivered:
-    """The answer reached the client whole."""
+    """The client has the whole answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Nothing ran, provably; `code` says why."""
+    """The upstream provably ran nothing; `code` is the reason."""
 
     code: str
 
 
 @dataclass(frozen=True, slots=True)
 class HeldBack:
-    """Nothing was sent: the upstream wants no work from this gateway now."""
+    """Nothing was sent: the upstream currently wants no work from this gateway."""
 
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """It may have run, and its answer is missing or cut off."""
+    """The call may have run, and its answer is missing or cut off; `code` is the reason."""
 
     code: str
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The upstream ran it and answered with a failure, which may be relayed."""
+    """The upstream ran the call and answered with a failure, which may be relayed."""
 
     status: int
     headers: Headers
--- a/chestnutfall/forwarding/sender.py
+++ b/chestnutfall/forwarding/sender.py
@@ -1,4 +1,4 @@
-"""One send of a call to the upstream chosen for it."""
+"""Sending of a call to its selected upstream."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 from ..routes import Route
 from ..signals import NO_SIGNALS, AskedBackoff, UpstreamLoad
 from ..signals.known_signals import KnownSignals
+from .answer_timeouts import first_byte_timeout_ms, pause_timeout_ms
 from .caller_reply import CallerReply
 from .event_splitter import EventSplitter
 from .forwarded_call import ForwardedCall
-from .patience import first_byte_ms, pause_ms
-from .place import Place, Places
+from .place import Place, UpstreamSelector
 from .progress import Progress
 from .send_result import TURNED_AWAY, Delivered, Failed, HeldBack, Lost, Refused, SendResult
 from .upstream_answer import NotRun, UpstreamAnswer
 from .upstream_api import SILENT, AnswerLost, NotSent, UpstreamApi
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
-"""Bounds what one answer can make a gateway hold; usual ones are below 100 KB."""
+"""Limit on one buffered answer; usual ones are below 100 KB."""
 PAST_DEADLINE_MS = 1_000
-"""Longer than the call itself may take, so that its own deadline ends it first."""
+"""Added to the silence timeout of calls that can't move, so that the call's own deadline ends them
+first."""
 _OUTCOMES = {
     NotRun.FULL: RunOutcome.FULL,
     NotRun.REPLACED: RunOutcome.REPLACED,
@@ -33,7 +34,7 @@
 
 
 class Sender:
-    """Sends, relays what comes back, and tells the place how it ended."""
+    """Sends a call, relays the answer to the client, and releases the place with the outcome."""
 
     def __init__(
         self, api: UpstreamApi, signals: KnownSignals, clock: Clock, metrics: Histograms
@@ -44,18 +45,26 @@
         self._metrics = metrics
 
     async def send(
-        self, progress: Progress, route: Route, place: Place, places: Places, reply: CallerReply
+        self,
+        progress: Progress,
+        route: Route,
+        place: Place,
+        selector: UpstreamSelector,
+        reply: CallerReply,
     ) -> SendResult:
-        """Send the call once, unless its upstream has just said that it wants nothing."""
+        """Send the call once and relay the answer.
+
+        Nothing is sent if the upstream has started to back off since it was selected.
+        """
         progress.signals = NO_SIGNALS
         if not self._signals.may_send(place.upstream.instance):
-            places.give_back(place, RunOutcome.WITHDRAWN, NO_TIMES, None)
+            selector.release(place, RunOutcome.WITHDRAWN, NO_TIMES, None)
             return HeldBack()
         sending = _Sending(self._clock, progress, route, place, reply)
         outcome: RunOutcome | None = None
         try:
             async with self._api.send(sending.forwarded()) as answer:
-                self._hear(place, answer, sending.sent_ms)
+                self._record_signals(place, answer, sending.sent_ms)
                 result = await sending.relay(answer)
             outcome = _outcome(answer, result)
             return result
@@ -70,19 +79,19 @@
             return Lost(SILENT)
         finally:
             if outcome is None:
-                outcome = sending.when_abandoned()
+                outcome = sending.outcome_if_abandoned()
             if sending.first_byte_ms is not None:
                 self._metrics.observe("first_byte_ms", sending.first_byte_ms)
-            places.give_back(place, outcome, sending.times(), sending.load)
+            selector.release(place, outcome, sending.times(), sending.load)
 
-    def _hear(self, place: Place, answer: UpstreamAnswer, sent_ms: int) -> None:
-        # Another incarnation at the same address speaks for itself.
+    def _record_signals(self, place: Place, answer: UpstreamAnswer, sent_ms: int) -> None:
+        # An answer of another incarnation at the address says nothing about the selected upstream.
         if answer.not_run is not NotRun.REPLACED:
             self._signals.observe(place.upstream.instance, answer.signals, sent_ms, answer.ok)
 
 
 class _Sending:
-    """The state of one send."""
+    """State of one send in progress."""
 
     def __init__(
         self, clock: Clock, progress: Progress, route: Route, place: Place, reply: CallerReply
@@ -105,27 +114,29 @@
             self._route.rank,
             max(self._progress.until_ms - self.sent_ms, 1),
             self._progress.last_event,
-            # A kept connection can have gone silent or be closing. A request lost on it may have
-            # run for all we know, and only an idempotent one may be sent again.
+            # A pooled connection may be dead or closing. A request lost on it may have run, and
+            # only an idempotent one may be sent again.
             fresh=not self._route.kind.idempotent,
             silent_ms=self._silent_ms(),
             organisation=self._progress.organisation,
         )
 
     def times(self) -> RunTimes:
-        """How fast the upstream answered."""
+        """Return how fast the upstream answered."""
         gaps_ms = self._progress.gaps_ms
         gap_ms = statistics.median(gaps_ms) if gaps_ms else 0.0
         first_ms = self.first_byte_ms or 0.0
         lag_ms = max(first_ms - self._route.objective_ms / 4, 0.0)
         return RunTimes(first_ms, lag_ms, gap_ms)
 
-    def when_abandoned(self) -> RunOutcome:
-        """What it tells of the upstream that nobody waits for the answer any more."""
-        # Only its own deadline ends the wait for an answer that may not be repeated. If that
-        # counted for nothing, a hung upstream would look as good as any other.
+    def outcome_if_abandoned(self) -> RunOutcome:
+        """Return the outcome for the upstream if the gateway stops waiting for the answer."""
+        # A call that may not be repeated waits until its own deadline. If that counted as no
+        # failure, a hung upstream would look as good as any other.
         silent_ms = self._clock.now_ms() - self.sent_ms
-        hung = not self._answering and silent_ms > first_byte_ms(self._route, self._progress.call)
+        hung = not self._answering and silent_ms > first_byte_timeout_ms(
+            self._route, self._progress.call
+        )
         return RunOutcome.BROKEN if hung else RunOutcome.LEFT
 
     async def relay(self, answer: UpstreamAnswer) -> SendResult:
@@ -135,13 +146,13 @@
         if answer.not_run is not None:
             return Refused(_refusal(answer, answer.not_run))
         if not answer.ok:
-            return Failed(answer.status, answer.headers, await _whole(answer))
+            return Failed(answer.status, answer.headers, await _read_whole(answer))
         if self._route.kind.streamed:
             return await self._relay_events(answer)
-        body = await _whole(answer)
+        body = await _read_whole(answer)
         self._note_first_byte()
         self._progress.note_part(self._clock.now_ms())
-        await self._reply.whole(answer.status, answer.headers, body)
+        await self._reply.send_whole(answer.status, answer.headers, body)
         return Delivered()
 
     async def _relay_events(self, answer: UpstreamAnswer) -> SendResult:
@@ -159,22 +170,27 @@
                     self._progress.last_event = event.number
                 self._progress.note_part(self._clock.now_ms())
                 await self._reply.write(event.data)
-        if not splitter.is_clean:
+        if not splitter.at_event_boundary:
             return Lost("cut_in_event")
         await self._reply.finish()
         return Delivered()
 
     def _silent_ms(self) -> float:
-        """A hung upstream is left when another one may go on; otherwise time alone ends it."""
-        if not self._may_move():
+        """Return how long the upstream may be silent before the answer counts as lost.
+
+        If the call can't be sent to another upstream, only the call's deadline ends the wait.
+        """
+        if not self._may_resend_elsewhere():
             return self._progress.until_ms - self.sent_ms + PAST_DEADLINE_MS
-        first_ms = first_byte_ms(self._route, self._progress.call)
-        return max(first_ms, pause_ms(self._route)) if self._route.kind.streamed else first_ms
+        first_ms = first_byte_timeout_ms(self._route, self._progress.call)
+        return (
+            max(first_ms, pause_timeout_ms(self._route)) if self._route.kind.streamed else first_ms
+        )
 
-    def _may_move(self) -> bool:
-        # An upstream that is the last of its service and has too much to do answers late. Left
-        # after a while, it has worked for nobody, and the call stands at its end again: 275 of 944
-        # lookups of one kind were lost so after three of four upstreams had gone.
+    def _may_resend_elsewhere(self) -> bool:
+        # The last upstream of a service answers late if it is overloaded. A call that gives up on
+        # it wastes the work done there and starts again at the end of its queue: 275 of 944 lookups
+        # were lost this way after three of four upstreams had gone.
         if not self._place.has_other:
             return False
         return self._route.kind.idempotent and self._progress.runs + 1 < self._route.attempts
@@ -187,7 +203,7 @@
         self.first_byte_ms = self._clock.now_ms() - self.sent_ms
 
 
-async def _whole(answer: UpstreamAnswer) -> bytes:
+async def _read_whole(answer: UpstreamAnswer) -> bytes:
     body = bytearray()
     async for data in answer.body:
         body += data
@@ -196,19 +212,20 @@
     return bytes(body)
 
 
-def _asks_for_time(answer: UpstreamAnswer) -> bool:
-    """Whether the upstream that was meant turns this gateway away for some time."""
+def _asks_backoff(answer: UpstreamAnswer) -> bool:
+    """Whether the selected upstream itself asks this gateway to back off."""
     is_meant = answer.not_run is not NotRun.REPLACED
     return is_meant and isinstance(answer.signals.backoff, AskedBackoff)
 
 
 def _refusal(answer: UpstreamAnswer, not_run: NotRun) -> str:
-    return TURNED_AWAY if _asks_for_time(answer) else not_run.value
+    return TURNED_AWAY if _asks_backoff(answer) else not_run.value
 
 
 def _outcome(answer: UpstreamAnswer, result: SendResult) -> RunOutcome:
-    if _asks_for_time(answer):
-        # It is well, and is back at its own time: neither a failure nor a sign of how it loads.
+    if _asks_backoff(answer):
+        # The upstream is healthy and stated when it accepts work again. This counts neither as a
+        # failure nor as a sign of missing capacity.
         return RunOutcome.TURNED_AWAY
     if answer.not_run is not None:
         return _OUTCOMES[answer.not_run]
--- a/chestnutfall/forwarding/shared_retry_budget.py
+++ b/chestnutfall/forwarding/shared_retry_budget.py
@@ -1,4 +1,4 @@
-"""How many repeats one gateway may send, so that all together stay below the bound."""
+"""One gateway's share of the bound on repeats."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 
 class SharedRetryBudget:
-    """A sliding window over this gateway's requests and repeats, for one service.
+    """Sliding window over this gateway's requests and repeats for one service.
 
-    A gateway is allowed its share of the slack that the leader does not give out, and the ratio of
-    its own requests. The sum over all gateways then keeps the bound without a word between them.
+    A gateway may use its share of the slack that the leader does not give out, plus the ratio of
+    its own requests. The sum over all gateways then keeps the bound without any messages between
+    them.
     """
 
     def __init__(self, bounds: RepeatBounds, clock: Clock, rng: random.Random) -> None:
@@ -21,22 +22,28 @@
         self._clock = clock
         self._requests = SlidingWindow(bounds.window_ms)
         self._repeats = SlidingWindow(bounds.window_ms)
-        # Of two hundred gateways each has a share of less than one repeat. Rounded down, none has
-        # any while there is no leader; with a chance of its own, this gateway has one or none, and
-        # all together have what they should.
-        self._chance = rng.random()
+        # With two hundred gateways, each share of the slack is less than one repeat. Rounded down,
+        # no gateway could repeat anything without a leader. A random part added once per gateway
+        # gives each gateway one repeat or none, and all gateways together their full share.
+        self._rounding_offset = rng.random()
 
     def note_request(self) -> None:
         """Count a client's request."""
         self._requests.note(self._clock.now_ms())
 
     def spend(self, gateways: int) -> bool:
-        """Take one repeat; False when there is none left."""
+        """Take one repeat; return False if none is left.
+
+        Parameters
+        ----------
+        gateways : int
+            Number of gateways that share the slack.
+        """
         now_ms = self._clock.now_ms()
         requests = self._requests.count(now_ms)
         slack = (1 - POOL_PART) * self._bounds.slack / max(gateways, 1)
         own = slack + self._bounds.ratio * requests
-        if self._repeats.count(now_ms) + 1 > SAFETY * own + self._chance:
+        if self._repeats.count(now_ms) + 1 > SAFETY * own + self._rounding_offset:
             return False
         self._repeats.note(now_ms)
         return True
--- a/chestnutfall/forwarding/upstream_answer.py
+++ b/chestnutfall/forwarding/upstream_answer.py
@@ -11,7 +11,11 @@
 
 
 class NotRun(Enum):
-    """The upstream's own proof that it did not run the request."""
+    """Reason that an upstream gives with its proof that it did not run the request.
+
+    `FULL`: no capacity. `REPLACED`: another incarnation runs at the address. `ABSENT`: the adapter,
+    or its required version, is not loaded.
+    """
 
     FULL = "full"
     REPLACED = "replaced"
@@ -20,16 +24,16 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamAnswer:
-    """Status, headers and the body as it comes.
+    """Status and headers of an answer, and its body as it arrives.
 
     Attributes
     ----------
     not_run : NotRun or None
-        Set when the upstream proved that nothing ran.
+        Set if the upstream proved that nothing ran.
     signals : UpstreamSignals
-        What it says of itself.
+        Limit, backoff and load that the upstream reports.
     body : async iterator of bytes
-        Raises AnswerLost when it breaks off.
+        Raises AnswerLost when the answer breaks off.
     """
 
     status: int
@@ -40,5 +44,5 @@
 
     @property
     def ok(self) -> bool:
-        """Whether the upstream answered with success."""
+        """Whether the upstream answered with a 2xx status."""
         return 200 <= self.status < 300
--- a/chestnutfall/forwarding/upstream_api.py
+++ b/chestnutfall/forwarding/upstream_api.py
@@ -1,4 +1,4 @@
-"""Port to the upstreams for requests."""
+"""Interface for sending calls to upstreams."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from .upstream_answer import UpstreamAnswer
 
 SILENT = "silent"
-"""Code of an answer that was not waited for any longer."""
+"""Code of an answer lost because the upstream was silent for too long."""
 
 
 class NotSent(ConnectionError):
@@ -17,17 +17,22 @@
 
 
 class AnswerLost(ConnectionError):
-    """The request was sent and its answer is missing, cut off or another's; it may have run."""
+    """The request may have run; its answer is missing, cut off or belongs to another request."""
 
 
 class UpstreamApi(ABC):
-    """Sends a call; leaving the context early cancels it at the upstream."""
+    """Sends calls to upstreams."""
 
     @abstractmethod
     def send(self, forwarded: ForwardedCall) -> AbstractAsyncContextManager[UpstreamAnswer]:
-        """Send and wait for the beginning of the answer.
+        """Send a call and wait for the beginning of the answer.
+
+        Leaving the context before the body has ended cancels the call at the upstream.
 
         Raises
         ------
-        NotSent, AnswerLost
+        NotSent
+            When no connection could be opened.
+        AnswerLost
+            When the answer is missing, cut off or belongs to another request.
         """
--- a/chestnutfall/platform/client_reply.py
+++ b/chestnutfall/platform/client_reply.py
@@ -25,7 +25,7 @@
         self._closing = closing
         self.response: web.StreamResponse | None = None
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
         kept = _kept(headers)
         await self._send(web.Response(status=status, headers=kept, body=body))
 
--- a/chestnutfall/platform/gateway.py
+++ b/chestnutfall/platform/gateway.py
@@ -12,15 +12,15 @@
 from ..coordination.messages import FLEET_CODEC
 from ..forwarding.admission import Admission
 from ..forwarding.drain import drain
-from ..forwarding.engine_places import EnginePlaces
+from ..forwarding.engine_selector import EngineSelector
 from ..forwarding.fleet_client import FleetClient
 from ..forwarding.fleet_knowledge import FleetKnowledge
 from ..forwarding.forwarder import Forwarder
-from ..forwarding.leader_quota_line import LeaderQuotaLine
-from ..forwarding.plain_places import PlainPlaces
+from ..forwarding.leader_quota_client import LeaderQuotaClient
+from ..forwarding.leader_turn_client import leader_turn_client
+from ..forwarding.plain_selector import PlainSelector
 from ..forwarding.repeats import Repeats
 from ..forwarding.sender import Sender
-from ..forwarding.turn_line import turn_line
 from ..limits.known_limits import KnownLimits
 from ..observability.histograms import Histograms
 from ..observability.json_logs import start_logs
@@ -62,20 +62,22 @@
     api = UpstreamHttp(UnreadHeaders(names.ANSWERED, metrics.count))
     rng = random.Random()
     quotas = QuotaEnforcer(
-        LeaderQuotaLine(fleet), lambda: known.gateways, settings.quotas, clock, rng
+        LeaderQuotaClient(fleet), lambda: known.gateways, settings.quotas, clock, rng
     )
     fleet.on_quotas, fleet.was_short = quotas.apply, quotas.shortage_report
-    upstream_limits = KnownLimits(fleet.tell, lambda: known.gateways, clock, rng)
-    backoffs = KnownBackoffs(fleet.tell, clock)
+    upstream_limits = KnownLimits(fleet.send, lambda: known.gateways, clock, rng)
+    backoffs = KnownBackoffs(fleet.send, clock)
     signals = KnownSignals(upstream_limits, backoffs, clock)
     fleet.on_limits, fleet.on_hints = upstream_limits.apply, backoffs.apply_hints
-    fleet.heard_again = signals.reports_for_new_leader
+    fleet.signals_to_resend = signals.reports_for_new_leader
     forwarder = Forwarder(
         known,
         Admission(quotas),
         Repeats(settings.repeats, lambda: known.gateways, fleet.borrow_repeat, clock, rng),
-        EnginePlaces(fleet, signals, clock, name, settings.data_centre),
-        PlainPlaces(known.upstreams, signals, turn_line(fleet), clock, settings.data_centre, rng),
+        EngineSelector(fleet, signals, clock, name, settings.data_centre),
+        PlainSelector(
+            known.upstreams, signals, leader_turn_client(fleet), clock, settings.data_centre, rng
+        ),
         Sender(api, signals, clock, metrics),
         signals,
         quarantine,
--- a/chestnutfall/tests/fakes/fake_upstreams.py
+++ b/chestnutfall/tests/fakes/fake_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams, places and a client's connection for tests of the forwarder."""
+"""Fake upstreams, selector and client connection for tests of the forwarder."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ...forwarding.call import Headers
 from ...forwarding.caller_reply import CallerReply
 from ...forwarding.forwarded_call import ForwardedCall
-from ...forwarding.place import NoPlace, Place, Places, Wanted
+from ...forwarding.place import NoPlace, Place, SelectionCriteria, UpstreamSelector
 from ...forwarding.route_source import RouteSource
 from ...forwarding.upstream_answer import NotRun, UpstreamAnswer
 from ...forwarding.upstream_api import AnswerLost, NotSent, UpstreamApi
@@ -24,7 +24,7 @@
 
 
 class FixedRoutes(RouteSource):
-    """Routes that are in force from a given moment on."""
+    """Routes that are in force from a given clock time on."""
 
     def __init__(self, table: RouteTable, clock: Clock, from_ms: int = 0) -> None:
         self._clock = clock
@@ -32,7 +32,7 @@
         self._from_ms = from_ms
         self.table = table if from_ms <= clock.now_ms() else None
 
-    async def until_table(self, within_ms: float) -> RouteTable | None:
+    async def wait_for_table(self, within_ms: float) -> RouteTable | None:
         wait_ms = self._from_ms - self._clock.now_ms()
         await self._clock.sleep_ms(min(wait_ms, within_ms))
         if wait_ms <= within_ms:
@@ -41,10 +41,11 @@
 
 
 class ScriptedUpstreams(UpstreamApi):
-    """Answers each send by the next entry of a script, and notes the sends.
+    """Answers each send with the next entry of a script, and records the sends.
 
-    An entry is a tuple of chunks for a whole answer; a `Cut` breaks off after its chunks; an
-    UpstreamAnswer is given as it is.
+    An entry is a tuple of chunks for a complete answer; a `Cut`, which breaks off after its chunks;
+    a `NotRun`; an int for a failure with that status; an exception class; or an `UpstreamAnswer`,
+    which is returned as it is.
     """
 
     def __init__(self, *script: object) -> None:
@@ -81,8 +82,8 @@
         return tuple(self)
 
 
-def answer_that_says(signals: UpstreamSignals, status: int = 503) -> UpstreamAnswer:
-    """An answer with a word of its upstream; 503 proves that nothing ran."""
+def answer_with_signals(signals: UpstreamSignals, status: int = 503) -> UpstreamAnswer:
+    """Return an answer that carries `signals`; status 503 proves that nothing ran."""
     not_run = NotRun.FULL if status == 503 else None
     return UpstreamAnswer(status, (), not_run, signals, _chunks((b"said",)))
 
@@ -94,60 +95,70 @@
         raise AnswerLost("cut")
 
 
-class ListedPlaces(Places):
-    """Gives out instances in order, and notes how they ended."""
+class ListedSelector(UpstreamSelector):
+    """Selects instances in order, and records criteria and outcomes."""
 
     def __init__(self, *instances: str) -> None:
         self._instances = list(instances)
         self.has_other = True
-        self.held_ms = 0.0
-        self.on_take: Callable[[], None] = lambda: None
-        self.on_give_back: Callable[[], None] = lambda: None
+        self.held_back_for_ms = 0.0
+        self.on_select: Callable[[], None] = lambda: None
+        self.on_release: Callable[[], None] = lambda: None
         self.outcomes: list[RunOutcome] = []
-        self.wanted: list[Wanted] = []
+        self.criteria: list[SelectionCriteria] = []
 
-    async def take(self, wanted: Wanted) -> Place:
-        self.wanted.append(wanted)
+    async def select(self, criteria: SelectionCriteria) -> Place:
+        self.criteria.append(criteria)
         if not self._instances:
             raise NoPlace("full", 700)
         instance = self._instances.pop(0)
         upstream = UpstreamRecord(instance, "s", "127.0.0.1:1", "dc")
-        # What happens while a place is on its way.
-        self.on_take()
+        # Lets a test change the state while the selection is under way.
+        self.on_select()
         return Place(f"t-{instance}", upstream, 0, has_other=self.has_other)
 
     def held_back_ms(self, service: str) -> float:
-        return self.held_ms
+        return self.held_back_for_ms
 
-    def give_back(
+    def release(
         self, place: Place, outcome: RunOutcome, times: RunTimes, load: UpstreamLoad | None
     ) -> None:
         self.outcomes.append(outcome)
-        self.on_give_back()
+        self.on_release()
 
 
-class ScriptedQuotaLine(QuotaClient):
-    """A keeper that gives the answers it is told to, and notes what it hears."""
+class ScriptedQuotaClient(QuotaClient):
+    """A quota client that gives preset answers and records reported use.
+
+    Attributes
+    ----------
+    has_leader : bool
+        Whether there is a leader to ask.
+    silent : bool
+        Whether the leader never answers.
+    answer : AnswerQuota
+        The leader's answer to every question.
+    """
 
     def __init__(self) -> None:
-        self.keeps = True
+        self.has_leader = True
         self.silent = False
         self.answer = AnswerQuota(0, True)
-        self.told: list[UsedQuota] = []
+        self.reported: list[UsedQuota] = []
 
     @property
     def connected(self) -> bool:
-        return self.keeps
+        return self.has_leader
 
     @property
     def isolated(self) -> bool:
-        return not self.keeps
+        return not self.has_leader
 
     def report_use(self, use: UsedQuota) -> None:
-        self.told.append(use)
+        self.reported.append(use)
 
     async def ask_quota(self, organisation: str, units: float) -> AnswerQuota:
-        if not self.keeps:
+        if not self.has_leader:
             raise NoQuotaLeader("none")
         if self.silent:
             await asyncio.get_running_loop().create_future()
@@ -158,7 +169,7 @@
 
 
 class RecordedReply(CallerReply):
-    """What a client got."""
+    """Records what a client receives; fails on a second final answer."""
 
     def __init__(self, on_write: Callable[[], None] = lambda: None) -> None:
         self.status = 0
@@ -168,7 +179,7 @@
         self.ended = ""
         self._on_write = on_write
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
         self._end("whole")
         self.status, self.body = status, body
 
@@ -199,10 +210,10 @@
     "AnswerLost",
     "Cut",
     "FixedRoutes",
-    "ListedPlaces",
+    "ListedSelector",
     "NotSent",
     "RecordedReply",
-    "ScriptedQuotaLine",
+    "ScriptedQuotaClient",
     "ScriptedUpstreams",
-    "answer_that_says",
+    "answer_with_signals",
 ]
--- a/chestnutfall/tests/fakes/forwarder_case.py
+++ b/chestnutfall/tests/fakes/forwarder_case.py
@@ -1,4 +1,4 @@
-"""One call through the real forwarder, before scripted places and upstreams."""
+"""Base of tests that run one call through the real forwarder, with scripted upstreams."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 from ...settings.repeat_bounds import RepeatBounds
 from .fake_upstreams import (
     FixedRoutes,
-    ListedPlaces,
+    ListedSelector,
     RecordedReply,
-    ScriptedQuotaLine,
+    ScriptedQuotaClient,
     ScriptedUpstreams,
 )
 from .limit_parts import known_signals
@@ -46,7 +46,27 @@
 
 
 class ForwarderCase(unittest.IsolatedAsyncioTestCase):
-    """What happens to the call, and when, is set before it is served."""
+    """Serves one call; attributes set before `_serve` decide what happens to it.
+
+    Attributes
+    ----------
+    leaving : bool
+        Whether the gateway refuses new calls.
+    routes_from_ms : int
+        Clock time at which the first document arrives.
+    same_instance : bool
+        Whether the selector returns the same instance for all sends.
+    leader_grants_repeats : bool
+        Whether the leader gives repeats.
+    has_other : bool
+        Whether each selected place reports another usable upstream.
+    held_back_for_ms : float
+        Time for which all upstreams back off; 0 for none.
+    on_selected, on_released : callable
+        Called when an upstream is selected or released.
+    reports : list of CrashReport
+        Crash reports of the gateway.
+    """
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -54,11 +74,11 @@
         self.reply = RecordedReply()
         self.leaving = False
         self.routes_from_ms = 0
-        self.same_place = False
-        self.leader_gives = False
+        self.same_instance = False
+        self.leader_grants_repeats = False
         self.has_other = True
-        self.held_ms = 0.0
-        self.while_placed = self.while_broken = self._nothing
+        self.held_back_for_ms = 0.0
+        self.on_selected = self.on_released = self._nothing
         self.reports: list[CrashReport] = []
         self.quarantine = RequestQuarantine(
             self.reports.append, self._refuses_connections, self.clock
@@ -68,14 +88,14 @@
         return True
 
     def _nothing(self) -> None:
-        """Nothing happens meanwhile."""
+        """Default for `on_selected` and `on_released`."""
 
     async def _borrow(self, service: str) -> bool:
-        return self.leader_gives
+        return self.leader_grants_repeats
 
     def _quotas(self) -> QuotaEnforcer:
-        self.line = ScriptedQuotaLine()
-        return QuotaEnforcer(self.line, lambda: 1, STRICT, self.clock, self.rng)
+        self.quota_client = ScriptedQuotaClient()
+        return QuotaEnforcer(self.quota_client, lambda: 1, STRICT, self.clock, self.rng)
 
     async def _serve(
         self, kind: RouteKind, script: tuple[Any, ...], attempts: int = 3, slack: float = 100
@@ -86,12 +106,12 @@
         services = (ServiceSpec("s", None),)
         table = RouteTable(Document(1, (route,), services, DocumentLimits()))
         self.upstreams = ScriptedUpstreams(*script)
-        instances = (f"i{0 if self.same_place else at}" for at in range(len(script)))
-        self.places = ListedPlaces(*instances)
-        self.places.has_other = self.has_other
-        self.places.held_ms = self.held_ms
-        self.places.on_take = self.while_placed
-        self.places.on_give_back = self.while_broken
+        instances = (f"i{0 if self.same_instance else at}" for at in range(len(script)))
+        self.selector = ListedSelector(*instances)
+        self.selector.has_other = self.has_other
+        self.selector.held_back_for_ms = self.held_back_for_ms
+        self.selector.on_select = self.on_selected
+        self.selector.on_release = self.on_released
         metrics = Histograms()
         self.signals = known_signals(self.clock)
         self.repeats = Repeats(
@@ -101,8 +121,8 @@
             FixedRoutes(table, self.clock, self.routes_from_ms),
             Admission(self._quotas()),
             self.repeats,
-            self.places,
-            self.places,
+            self.selector,
+            self.selector,
             Sender(self.upstreams, self.signals, self.clock, metrics),
             self.signals,
             self.quarantine,
--- a/chestnutfall/tests/fakes/limit_office.py
+++ b/chestnutfall/tests/fakes/limit_office.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import dataclass, replace
 
-from ...forwarding.place import NoPlace, Wanted
+from ...forwarding.place import NoPlace, SelectionCriteria
 from ...placement import RunOutcome
 from ...placement.run_times import RunTimes
 from ...signals import UpstreamLoad
@@ -64,13 +64,13 @@
         if failed_at:
             await self._send(replace(wanted, avoid=(failed_at,)), gateway)
 
-    async def _send(self, wanted: Wanted, gateway: PlacingGateway) -> str:
+    async def _send(self, wanted: SelectionCriteria, gateway: PlacingGateway) -> str:
         """Send a call once; return the upstream that failed it, or an empty string."""
         began_ms = self.clock.now_ms()
         organisation = wanted.organisation
-        places = gateway.places[wanted.service.name]
+        places = gateway.selectors[wanted.service.name]
         try:
-            place = await places.take(wanted)
+            place = await places.select(wanted)
         except NoPlace as exc:
             waited_ms = self.clock.now_ms() - began_ms
             self.refused.append(Refused(organisation, exc.reason, waited_ms, exc.retry_after_ms))
@@ -88,7 +88,7 @@
         await self.clock.sleep_ms(RUN_MS)
         upstream.running -= 1
         outcome = RunOutcome.BROKEN if fails else RunOutcome.DONE
-        places.give_back(place, outcome, RunTimes(HEAD_MS, 0.0, 0.0), load)
+        places.release(place, outcome, RunTimes(HEAD_MS, 0.0, 0.0), load)
         return place.upstream.instance if fails else ""
 
 
--- a/chestnutfall/tests/fakes/limit_parts.py
+++ b/chestnutfall/tests/fakes/limit_parts.py
@@ -6,7 +6,7 @@
 
 from ...clock import Clock
 from ...forwarding.fleet_client import LeaderLost
-from ...forwarding.place import Wanted
+from ...forwarding.place import SelectionCriteria
 from ...limits.known_limits import KnownLimits
 from ...limits.messages import AnswerTurn, HeardLimit
 from ...signals.known_backoffs import KnownBackoffs
@@ -41,7 +41,7 @@
         self._answers = list(answers)
         self.waits_ms: list[int] = []
 
-    async def ask(self, wanted: Wanted, wait_ms: int) -> AnswerTurn:
+    async def ask(self, wanted: SelectionCriteria, wait_ms: int) -> AnswerTurn:
         """Return the next scripted answer.
 
         Raises
--- a/chestnutfall/tests/fakes/placing_office.py
+++ b/chestnutfall/tests/fakes/placing_office.py
@@ -10,7 +10,7 @@
 from ...clock import ManualClock
 from ...control.upstream_record import UpstreamRecord
 from ...forwarding.call import Call
-from ...forwarding.place import Wanted
+from ...forwarding.place import SelectionCriteria
 from ...placement import AdapterName, Order
 from ...routes import Route, RouteKind, ServiceSpec, WeightedService
 from .placing_gateway import PlacingGateway
@@ -133,7 +133,7 @@
     async def _call(self, service: str, gateway: PlacingGateway, organisation: str) -> None:
         """Make one call, to its end."""
 
-    def _wanted(self, service: str, now_ms: int, organisation: str) -> Wanted:
+    def _wanted(self, service: str, now_ms: int, organisation: str) -> SelectionCriteria:
         is_engine = service == ENGINES
         adapter = AdapterName("base", f"a{self.rng.randrange(ADAPTERS)}") if is_engine else None
         until_ms = now_ms + DEADLINE_MS
@@ -141,7 +141,9 @@
         targets = (WeightedService(service, 1),)
         route = Route("r", "h", "/", RouteKind.IDEMPOTENT, DEADLINE_MS, 500, 1, targets, 2)
         spec = ServiceSpec(service, SPEC if is_engine else None)
-        return replace(Wanted(call, route, spec, (), until_ms), organisation=organisation)
+        return replace(
+            SelectionCriteria(call, route, spec, (), until_ms), organisation=organisation
+        )
 
     async def stop(self) -> None:
         """End every call."""
--- a/chestnutfall/tests/fakes/signal_office.py
+++ b/chestnutfall/tests/fakes/signal_office.py
@@ -36,7 +36,7 @@
 from ...settings.quota_bounds import OFFICE
 from ...settings.repeat_bounds import RepeatBounds
 from ...signals import AskedBackoff
-from .fake_upstreams import FixedRoutes, RecordedReply, ScriptedQuotaLine
+from .fake_upstreams import FixedRoutes, RecordedReply, ScriptedQuotaClient
 from .placing_gateway import PlacingGateway
 from .placing_office import DEADLINE_MS, PlacingOffice
 from .signalling_upstream import ADAPTERS, ENGINES, PLAIN, SPEC, BackoffRequest, SignallingUpstream
@@ -188,7 +188,7 @@
         self.apis[name] = SignallingApi(self.upstreams, name, self.clock)
         self._forwarders[name] = Forwarder(
             FixedRoutes(_table(), self.clock),
-            Admission(QuotaEnforcer(ScriptedQuotaLine(), lambda: 1, OFFICE, self.clock, rng)),
+            Admission(QuotaEnforcer(ScriptedQuotaClient(), lambda: 1, OFFICE, self.clock, rng)),
             Repeats(
                 self._bounds,
                 lambda: len(self.gateways) or 1,
@@ -196,8 +196,8 @@
                 self.clock,
                 rng,
             ),
-            gateway.places[ENGINES],
-            gateway.places[PLAIN],
+            gateway.selectors[ENGINES],
+            gateway.selectors[PLAIN],
             Sender(self.apis[name], gateway.signals, self.clock, self.metrics),
             gateway.signals,
             RequestQuarantine(lambda report: None, self._refuses, self.clock),
@@ -232,7 +232,7 @@
         if self.leader is not None:
             self.leader.see()
         for gateway in self.gateways.values():
-            gateway.see(self.upstreams.values())
+            gateway.set_upstreams(self.upstreams.values())
 
     def replace(self, instance: str, successor: str) -> SignallingUpstream:
         """Replace an upstream by another incarnation at the same address, and return that."""
--- a/chestnutfall/tests/test_backoff_parts.py
+++ b/chestnutfall/tests/test_backoff_parts.py
@@ -14,7 +14,7 @@
 from ..coordination.backoff_desk import MOST_TOLD, TELL_MS, BackoffDesk
 from ..coordination.gateway_session import GatewaySession
 from ..coordination.gateway_sessions import GatewaySessions
-from ..forwarding.repeats import UNUSED_MS, Repeats
+from ..forwarding.repeats import UNSENT_LIFE_MS, Repeats
 from ..placement.placer import Placer
 from ..settings.repeat_bounds import RepeatBounds
 from ..signals import AskedBackoff, UnreadableBackoff, UpstreamSignals
@@ -290,9 +290,9 @@
         while await repeats.spend("s", upstream_is_busy=False):
             spent += 1
         self.assertGreater(spent, 0)
-        repeats.give_back("s")
+        repeats.refund("s")
         self.assertTrue(await repeats.spend("s", upstream_is_busy=False))
         self.assertFalse(await repeats.spend("s", upstream_is_busy=False))
-        repeats.give_back("s")
-        clock._now_ms += UNUSED_MS + 1
+        repeats.refund("s")
+        clock._now_ms += UNSENT_LIFE_MS + 1
         self.assertFalse(await repeats.spend("s", upstream_is_busy=False))
--- a/chestnutfall/tests/test_crash_keeper.py
+++ b/chestnutfall/tests/test_crash_keeper.py
@@ -21,7 +21,7 @@
 from ..coordination.gateway_session import GatewaySession
 from ..forwarding.fleet_client import FleetClient
 from ..forwarding.fleet_knowledge import FleetKnowledge
-from ..forwarding.recent_reports import REPORT_AGAIN_MS
+from ..forwarding.recent_reports import RESEND_WITHIN_MS
 from ..platform.document_json import DocumentJson
 from ..settings.quota_bounds import STRICT
 from .fakes import FakeCluster
@@ -253,10 +253,10 @@
         clock = ManualClock()
         client = FleetClient("g", (), FleetKnowledge(DocumentJson(), clock), clock)
         client.report(_broken("old", 1))
-        await clock.advance(REPORT_AGAIN_MS)
+        await clock.advance(RESEND_WITHIN_MS)
         client.report(_broken("fatal", 2))
         client.report(AnsweredRun("usual"))
         await clock.advance(1_500)
-        client._join("127.0.0.1:1")
+        client._on_connected("127.0.0.1:1")
         told = [client._out.get_nowait() for _ in range(client._out.qsize())]
         self.assertEqual(told, [_broken("fatal", 2, age_ms=1_505), AnsweredRun("usual")])
--- a/chestnutfall/tests/test_dissemination.py
+++ b/chestnutfall/tests/test_dissemination.py
@@ -68,15 +68,15 @@
         views = UpstreamViews()
         gateways = [KnownUpstreams()]
         for part in views.whole():
-            gateways[0].take(part)
+            gateways[0].apply(part)
         for joins, serving in [*steps * 3, (True, last)]:
             if joins:
                 gateways.append(KnownUpstreams())
                 for part in views.whole():
-                    gateways[-1].take(part)
+                    gateways[-1].apply(part)
             for change in views.change_to(_record(number) for number in serving):
                 for gateway in gateways:
-                    gateway.take(change)
+                    gateway.apply(change)
             expected = {_record(number).instance for number in serving}
             for gateway in gateways:
                 self.assertEqual(gateway.instances(), expected)
@@ -86,10 +86,10 @@
         for start in range(REBASE_CHANGES + 2):
             list(views.change_to(_record(number) for number in range(20 * start, 20 * start + 900)))
         known = KnownUpstreams()
-        list(map(known.take, views.whole()))
+        list(map(known.apply, views.whole()))
         before = known.instances()
         parts = list(views.whole())
-        known.take(parts[0])
+        known.apply(parts[0])
         self.assertEqual(known.instances(), before)
         self.assertGreater(len(parts), 1)
 
@@ -99,7 +99,7 @@
         views, known = UpstreamViews(), KnownUpstreams()
         list(views.change_to(_record(number) for number in range(3_000)))
         for part in views.whole():
-            known.take(part)
+            known.apply(part)
             if getattr(part, "complete", False):
                 self.assertGreaterEqual(len(known.instances()), 3_000 - REBASE_CHANGES)
 
@@ -109,14 +109,14 @@
             list(views.change_to([_record(number)]))
         self.assertLessEqual(len(views._since), MOST_CHANGES)
         for part in views.whole():
-            known.take(part)
+            known.apply(part)
         self.assertEqual(known.instances(), {_record(2 * MOST_CHANGES - 1).instance})
 
     def test_services_are_told_apart_after_each_change(self) -> None:
         known, views = KnownUpstreams(), UpstreamViews()
         for count in (4, 7):
             for change in views.change_to(_record(number) for number in range(count)):
-                known.take(change)
+                known.apply(change)
             self.assertEqual(len(known.of("s0")), (count + 1) // 2)
             self.assertEqual(len(known.of("s1")), count // 2)
 
--- a/chestnutfall/tests/test_fleet_leader.py
+++ b/chestnutfall/tests/test_fleet_leader.py
@@ -138,11 +138,11 @@
         """Upstreams that a gateway knows after all that was sent to it."""
         known = KnownUpstreams()
         instances = {one: UpstreamRecord(one, "", "", "") for one in before or ()}
-        known.take(UpstreamsChange(tuple(instances.values()), ()))
+        known.apply(UpstreamsChange(tuple(instances.values()), ()))
         while not session.out.empty():
             msg = session.out.get_nowait()
             if isinstance(msg, UpstreamsPart | UpstreamsChange):
-                known.take(msg)
+                known.apply(msg)
         return known.instances()
 
     async def test_an_engine_that_ended_gets_no_more_work_until_it_is_heard_again(self) -> None:
--- a/chestnutfall/tests/test_fleet_parts.py
+++ b/chestnutfall/tests/test_fleet_parts.py
@@ -15,7 +15,7 @@
 from ..control.upstream_roster import UpstreamRoster
 from ..coordination.holdings_diff import holdings_change
 from ..coordination.upstream_watch import UpstreamWatch
-from ..forwarding.drain import POLL_MS, QUIET_MS, UNTIL_BALANCED_MS, Drainable, drain
+from ..forwarding.drain import BALANCER_NOTICE_MS, POLL_MS, QUIET_MS, Drainable, drain
 from ..forwarding.event_splitter import EventSplitter
 from ..forwarding.holders import Holders
 from ..placement import AdapterName, ReadyAdapter
@@ -31,7 +31,7 @@
             at += cut
         self.assertEqual([event.number for event in found], [1, 2, 3, 4, 5])
         self.assertEqual(b"".join(event.data for event in found), stream)
-        self.assertTrue(splitter.is_clean)
+        self.assertTrue(splitter.at_event_boundary)
 
 
 class UpstreamRosterTest(unittest.TestCase):
@@ -100,7 +100,7 @@
         before: frozenset[ReadyAdapter] = frozenset()
         for at, step in enumerate(steps):
             now = frozenset(ReadyAdapter(f"i{n % 2}", AdapterName("m", f"a{n}"), at) for n in step)
-            holders.take(holdings_change(at == 0, now - before, before - now))
+            holders.apply(holdings_change(at == 0, now - before, before - now))
             before = now
             for n in range(6):
                 expected = {held for held in now if held.adapter.adapter == f"a{n}"}
@@ -148,7 +148,7 @@
         return clock.now_ms()
 
     async def test_it_serves_until_the_balancer_and_the_last_call_are_gone(self) -> None:
-        self.assertGreaterEqual(await self._ended_ms([]), UNTIL_BALANCED_MS)
+        self.assertGreaterEqual(await self._ended_ms([]), BALANCER_NOTICE_MS)
         ended_ms = await self._ended_ms([5_000])
         self.assertGreaterEqual(ended_ms, 5_000 + QUIET_MS - POLL_MS)
 
@@ -157,7 +157,7 @@
         # cut off half way when the grace time is over.
         await self._ended_ms([6_000])
         assert self.refused_ms is not None
-        self.assertLessEqual(abs(self.refused_ms - UNTIL_BALANCED_MS), POLL_MS)
+        self.assertLessEqual(abs(self.refused_ms - BALANCER_NOTICE_MS), POLL_MS)
 
     async def test_the_last_call_has_most_of_the_grace_time(self) -> None:
         # A draft comes three seconds after the request to stop, on a connection that was kept,
--- a/chestnutfall/tests/test_forwarder.py
+++ b/chestnutfall/tests/test_forwarder.py
@@ -1,8 +1,8 @@
-"""What a caller is told when sends are refused, lost, cut off or answered by a failure.
+"""Final answers when sends are refused, lost, cut off or answered with a failure.
 
-A caller that reads "not run" sends its request again; if it did run, two results reach one
-household. A caller that reads a whole answer believes it. So every way in which a send can end
-is played at every position, and the final answer must be true of all sends together.
+A caller that gets a "not run" status sends its request again; if the request did run, it has two
+results. A caller treats a complete answer as valid. So every way in which a send can end is tested
+at every position, and the final answer must be true of all sends together.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 
 class ForwarderTest(ForwarderCase):
     async def test_a_call_that_comes_while_the_gateway_starts_is_held_and_served(self) -> None:
-        # All hosts lost power. Gateways are back half a second before the controllers have a
-        # leader; whoever is refused then comes back late, together with everyone else.
+        # After a power loss on all hosts, gateways are back half a second before there is a leader.
+        # A client refused in this time retries late, at the same moment as all the others.
         self.routes_from_ms = 600
         await self._serve(RouteKind.NON_IDEMPOTENT, ((b"whole",),))
         self.assertEqual((self.reply.status, self.reply.body), (200, b"whole"))
@@ -46,13 +46,13 @@
         self.assertEqual((self.reply.status, upstreams.sends), (503, []))
         self.assertIsNotNone(self.reply.retry_after_ms)
 
-    def _hold(self) -> None:
+    def _quarantine_call(self) -> None:
         fingerprint = fingerprint_of("a.example", "POST /a/x", b"")
-        held = (QuarantinedRequest(fingerprint, 60_000),)
-        self.quarantine.take(SuspectRequests(1, (), held))
+        quarantined = (QuarantinedRequest(fingerprint, 60_000),)
+        self.quarantine.take(SuspectRequests(1, (), quarantined))
 
     async def test_a_quarantined_call_is_refused_at_once_and_not_run(self) -> None:
-        self._hold()
+        self._quarantine_call()
         for kind in RouteKind:
             with self.subTest(kind):
                 self.reply = RecordedReply()
@@ -61,14 +61,14 @@
                 self.assertEqual(self.reply.retry_after_ms, 60_000)
 
     async def test_a_call_that_is_quarantined_while_it_waits_gives_its_place_back(self) -> None:
-        self.while_placed = self._hold
+        self.on_selected = self._quarantine_call
         upstreams = await self._serve(RouteKind.NON_IDEMPOTENT, ((b"answer",),))
         self.assertEqual((self.reply.status, upstreams.sends), (503, []))
-        self.assertEqual(self.places.outcomes, [RunOutcome.WITHDRAWN])
+        self.assertEqual(self.selector.outcomes, [RunOutcome.WITHDRAWN])
 
     async def test_a_call_that_ended_an_upstream_is_not_called_not_run(self) -> None:
-        # It ran once before the quarantine. A caller who reads "not run" would ask again.
-        self.while_broken = self._hold
+        # It ran once before the quarantine. A caller that gets a "not run" status would retry.
+        self.on_released = self._quarantine_call
         upstreams = await self._serve(RouteKind.IDEMPOTENT, (AnswerLost, (b"answer",)))
         self.assertEqual(len(upstreams.sends), 1)
         self.assertNotIn(self.reply.status, PROMISES_NOT_RUN)
@@ -90,11 +90,11 @@
                 self.reply = RecordedReply()
                 await self._serve(RouteKind.NON_IDEMPOTENT, (refusal, (b"answer",)))
                 self.assertEqual((self.reply.status, self.reply.body), (200, b"answer"))
-                self.assertEqual(self.places.wanted[1].avoid, ("i0",))
-                self.assertEqual(self.places.wanted[1].too_early, ())
+                self.assertEqual(self.selector.criteria[1].avoid, ("i0",))
+                self.assertEqual(self.selector.criteria[1].lacked_adapter, ())
 
     async def test_the_leader_s_repeats_go_to_calls_that_another_upstream_helps(self) -> None:
-        self.leader_gives = True
+        self.leader_grants_repeats = True
         for first, sends in ((NotSent, 2), (500, 2), (NotRun.ABSENT, 2), (NotRun.FULL, 1)):
             with self.subTest(first):
                 self.reply = RecordedReply()
@@ -102,9 +102,10 @@
                 self.assertEqual(len(self.upstreams.sends), sends)
 
     async def test_the_last_upstream_of_a_service_is_waited_for_and_not_asked_twice(self) -> None:
-        # Three of four plain upstreams are gone, and the last one has a queue. A lookup that leaves
-        # it after a quarter of a second has cost it work, stands at the end of the queue again, and
-        # is late or lost; one that it refuses as full is refused again a moment later.
+        # Three of four plain upstreams are gone, and the last one has a queue. A lookup that gives
+        # up on it after a quarter of a second has cost it work, starts again at the end of the
+        # queue, and is late or lost. A lookup that it refuses as full would be refused again a
+        # moment later.
         await self._serve(RouteKind.IDEMPOTENT, ((b"answer",),))
         patient_ms = self.upstreams.sends[0].silent_ms
         self.has_other = False
@@ -118,11 +119,11 @@
         self.assertIsNotNone(self.reply.retry_after_ms)
 
     async def test_a_call_that_came_before_its_adapter_may_go_there_again_once(self) -> None:
-        # A place was given at the expected end of a load, which takes some ms longer. Sent to
-        # another engine, the call would wait for a whole second load there.
-        self.same_place = True
+        # The engine was selected for the expected end of a load, which takes some ms longer. On
+        # another engine the call would wait for a whole second load.
+        self.same_instance = True
         await self._serve(RouteKind.STREAM, (NotRun.ABSENT, NotRun.ABSENT, (event(1),)))
-        seen = [(one.avoid, one.too_early) for one in self.places.wanted]
+        seen = [(one.avoid, one.lacked_adapter) for one in self.selector.criteria]
         self.assertEqual(seen, [((), ()), ((), ("i0",)), (("i0",), ("i0",))])
         self.assertEqual((self.reply.status, self.reply.body), (200, event(1)))
 
--- a/chestnutfall/tests/test_gateway_news.py
+++ b/chestnutfall/tests/test_gateway_news.py
@@ -70,7 +70,7 @@
     def _take(self, msg: Any) -> None:
         if isinstance(msg, HoldingsChange):
             self.bytes += len(FLEET_CODEC.encode(msg))
-            self.holders.take(cast(HoldingsChange, FLEET_CODEC.decode(FLEET_CODEC.encode(msg))))
+            self.holders.apply(cast(HoldingsChange, FLEET_CODEC.decode(FLEET_CODEC.encode(msg))))
 
     def _known(self) -> int:
         return sum(
--- a/chestnutfall/tests/test_leader_rush.py
+++ b/chestnutfall/tests/test_leader_rush.py
@@ -16,7 +16,11 @@
 from ..coordination.gateway_session import GatewaySession
 from ..coordination.leader_term import LeaderTerm
 from ..coordination.messages import FLEET_CODEC, Controllers, GatewayCount, UpstreamsPart
-from ..forwarding.leader_patience import FIRST_MS, MOST_MS, LeaderPatience
+from ..forwarding.first_message_timeouts import (
+    INITIAL_TIMEOUT_MS,
+    MAX_TIMEOUT_MS,
+    FirstMessageTimeouts,
+)
 from ..forwarding.recent_gateways import REMEMBERED_MS, RecentGateways
 from ..platform.document_json import DocumentJson
 from ..settings.quota_bounds import STRICT
@@ -89,18 +93,20 @@
         return found
 
 
-class LeaderPatienceTest(unittest.TestCase):
+class FirstMessageTimeoutsTest(unittest.TestCase):
     def test_a_silent_controller_is_given_more_time_until_it_speaks(self) -> None:
-        patience = LeaderPatience()
+        timeouts = FirstMessageTimeouts()
         waits = []
         for _ in range(6):
-            waits.append(patience.wait_ms("a"))
-            patience.was_silent("a")
-        self.assertEqual(waits[:3], [FIRST_MS, 2 * FIRST_MS, 4 * FIRST_MS])
-        self.assertEqual(waits[-1], MOST_MS)
-        self.assertEqual(patience.wait_ms("b"), FIRST_MS)
-        patience.spoke("a")
-        self.assertEqual(patience.wait_ms("a"), FIRST_MS)
+            waits.append(timeouts.timeout_ms("a"))
+            timeouts.note_timeout("a")
+        self.assertEqual(
+            waits[:3], [INITIAL_TIMEOUT_MS, 2 * INITIAL_TIMEOUT_MS, 4 * INITIAL_TIMEOUT_MS]
+        )
+        self.assertEqual(waits[-1], MAX_TIMEOUT_MS)
+        self.assertEqual(timeouts.timeout_ms("b"), INITIAL_TIMEOUT_MS)
+        timeouts.note_message("a")
+        self.assertEqual(timeouts.timeout_ms("a"), INITIAL_TIMEOUT_MS)
 
 
 class RecentGatewaysTest(unittest.TestCase):
@@ -109,10 +115,10 @@
         # told that they are alone, and each spends the slack of all.
         clock = ManualClock()
         recent = RecentGateways(clock)
-        recent.tell(90)
+        recent.note_count(90)
         clock._now_ms += REMEMBERED_MS // 2
-        recent.tell(1)
+        recent.note_count(1)
         self.assertEqual(recent.present, 90)
         clock._now_ms += REMEMBERED_MS
-        recent.tell(60)
+        recent.note_count(60)
         self.assertEqual(recent.present, 60)
--- a/chestnutfall/tests/test_organisations.py
+++ b/chestnutfall/tests/test_organisations.py
@@ -1,9 +1,9 @@
-"""Who asks: keys, what they open, and where they end.
+"""API keys, organisations and quotas.
 
-A permit office whose key was taken away goes on sending on the connections that it has. Another one
-names a second office in a header of its own, to have its drafts charged to that one. The first gets
-401 and takes no place; of the second, upstreams hear the name that its key stands for, and nobody
-but the gateway sees a key.
+Guards against two abuses: a revoked key still works on kept connections, and a caller names another
+organisation in a header of its own to have its calls charged there. The first is refused with 401
+before an upstream is selected; for the second, upstreams get the name that belongs to the key. Keys
+never leave the gateway.
 """
 
 from __future__ import annotations
@@ -42,10 +42,10 @@
 from ..settings.repeat_bounds import RepeatBounds
 from .fakes.fake_upstreams import (
     FixedRoutes,
-    ListedPlaces,
+    ListedSelector,
     NotSent,
     RecordedReply,
-    ScriptedQuotaLine,
+    ScriptedQuotaClient,
     ScriptedUpstreams,
 )
 from .fakes.limit_parts import known_signals
@@ -150,8 +150,10 @@
         self.clock = ManualClock()
         self.reply = RecordedReply()
         self.within_ms = 100
-        self.line = ScriptedQuotaLine()
-        self.quotas = QuotaEnforcer(self.line, lambda: 1, STRICT, self.clock, random.Random(1))
+        self.quota_client = ScriptedQuotaClient()
+        self.quotas = QuotaEnforcer(
+            self.quota_client, lambda: 1, STRICT, self.clock, random.Random(1)
+        )
         self.metrics = Histograms()
         self.written = io.StringIO()
         handler = logging.StreamHandler(self.written)
@@ -166,7 +168,7 @@
     async def _serve(self, content: bytes, key: str | None, *script: Any) -> ScriptedUpstreams:
         table = RouteTable(DocumentJson().decode(content))
         self.upstreams = ScriptedUpstreams(*script or ((b"whole",),))
-        self.places = ListedPlaces("i0", "i1")
+        self.selector = ListedSelector("i0", "i1")
         bounds = RepeatBounds(0.2, 100, 10_000)
         rng = random.Random(1)
         signals = known_signals(self.clock)
@@ -174,8 +176,8 @@
             FixedRoutes(table, self.clock),
             Admission(self.quotas),
             Repeats(bounds, lambda: 1, self._borrow, self.clock, rng),
-            self.places,
-            self.places,
+            self.selector,
+            self.selector,
             Sender(self.upstreams, signals, self.clock, self.metrics),
             signals,
             RequestQuarantine(lambda report: None, self._refuses, self.clock),
@@ -208,13 +210,13 @@
             with self.subTest(key):
                 self.reply = RecordedReply()
                 await self._serve(_document(PERMITS), key)
-                self.assertEqual((self.reply.status, self.places.wanted), (401, []))
+                self.assertEqual((self.reply.status, self.selector.criteria), (401, []))
         self.assertNotIn("taken-away", self.written.getvalue() + self.metrics.text())
 
-    # Guards against callers who get no answer at all, since a leader that is about to be left by
-    # its gateways answers no question about quotas.
+    # Guards against calls without any answer: a leader that loses its gateways does not answer
+    # questions about quotas.
     async def test_a_leader_that_gives_no_answer_holds_up_nobody_beyond_its_time(self) -> None:
-        self.line.silent = True
+        self.quota_client.silent = True
         self.quotas.apply(QuotaNews(True, ("permits",)))
         self.within_ms = 4_000
         await self._serve(_document(LIMITED), "key-of-permits")
@@ -231,39 +233,39 @@
     async def test_the_organisations_priority_goes_before_the_routes(self) -> None:
         await self._serve(_document(PERMITS, BOOKINGS), "key-of-permits")
         self.assertEqual(self.upstreams.sends[0].rank, 0)
-        self.assertEqual(self.places.wanted[0].route.rank, 0)
+        self.assertEqual(self.selector.criteria[0].route.rank, 0)
         self.reply = RecordedReply()
         await self._serve(_document(PERMITS, BOOKINGS), "key-of-bookings")
         self.assertEqual(self.upstreams.sends[0].rank, 3)
 
     async def test_over_the_quota_is_refused_with_the_time_to_come_back(self) -> None:
         self.quotas.apply(QuotaNews(True, ("permits",)))
-        self.line.answer = AnswerQuota(0, False, 730)
+        self.quota_client.answer = AnswerQuota(0, False, 730)
         await self._serve(_document(LIMITED), "key-of-permits")
         self.assertEqual((self.reply.status, self.reply.retry_after_ms), (429, 730))
-        self.assertEqual(self.places.wanted, [])
+        self.assertEqual(self.selector.criteria, [])
         self.assertIn("organisation=permits version=3", self.written.getvalue())
         self.assertIn("organisation_permits_over_quota_total 1", self.metrics.text())
 
     async def test_without_a_leader_and_a_share_nobody_says_that_the_quota_is_used_up(self) -> None:
-        self.line.keeps = False
+        self.quota_client.has_leader = False
         await self._serve(_document(LIMITED), "key-of-permits")
         self.assertEqual(self.reply.status, 503)
 
-    async def _told(self) -> float:
+    async def _reported_units(self) -> float:
         self.quotas.report_use()
-        return sum(use.units for used in self.line.told for use in used.uses)
+        return sum(use.units for used in self.quota_client.reported for use in used.uses)
 
     async def test_a_call_is_charged_once_however_often_it_is_sent(self) -> None:
         await self._serve(_document(LIMITED), "key-of-permits", NotRun.REPLACED, (b"whole",))
         self.assertEqual(len(self.upstreams.sends), 2)
-        self.assertEqual(await self._told(), 200)
+        self.assertEqual(await self._reported_units(), 200)
 
     async def test_what_never_ran_is_given_back(self) -> None:
         await self._serve(_document(LIMITED), "key-of-permits", NotSent, NotSent)
         self.assertEqual(self.reply.status, 503)
-        self.assertEqual(await self._told(), 0)
+        self.assertEqual(await self._reported_units(), 0)
 
     async def test_what_may_have_run_stays_charged(self) -> None:
         await self._serve(_document(LIMITED), "key-of-permits", 500)
-        self.assertEqual(await self._told(), 200)
+        self.assertEqual(await self._reported_units(), 200)
--- a/chestnutfall/tests/test_repeats.py
+++ b/chestnutfall/tests/test_repeats.py
@@ -1,8 +1,8 @@
-"""Repeats of all gateways together, while callers, failures and leaders come and go.
+"""The bound on the repeats of all gateways together, also across failures and leader changes.
 
-Engines fail a part of what they run. A draft that fails is sent once more, if a repeat is left:
-too few, and callers get failures that another engine would have spared them; too many, and the
-repeats of all gateways load the engines that are left.
+Engines fail some of their requests, and a failed call is sent once more if a repeat is left. With
+too few repeats, callers get failures that another engine would have prevented; with too many, the
+repeats overload the remaining engines.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from ..clock import ManualClock
 from ..coordination.messages import AnswerRepeat, AskRepeat
 from ..coordination.repeat_pool import POOL_PART, SAFETY, RepeatPool
-from ..forwarding.fleet_client import REPEAT_MS, FleetClient
+from ..forwarding.fleet_client import REPEAT_TIMEOUT_MS, FleetClient
 from ..forwarding.fleet_knowledge import FleetKnowledge
 from ..forwarding.repeats import Repeats
 from ..platform.document_json import DocumentJson
@@ -27,7 +27,7 @@
 
 
 class _Fleet:
-    """Gateways, and leaders that follow each other."""
+    """Gateways of one fleet under successive leaders."""
 
     def __init__(self, gateways: int, bounds: RepeatBounds = BOUNDS) -> None:
         self.clock = ManualClock()
@@ -46,7 +46,7 @@
         return self._pool.take(service)
 
     async def repeats_of(self, gateway: int, wanted: int, busy: bool = False) -> int:
-        """How many of the repeats that a gateway wants it gets now."""
+        """Return how many of the wanted repeats a gateway gets now."""
         got = [await self.gateways[gateway].spend("s", busy) for _ in range(wanted)]
         return sum(got)
 
@@ -78,8 +78,8 @@
             self.assertLessEqual(sum(at in window for at in repeats), allowed)
 
     async def test_the_slack_goes_to_the_gateway_that_has_the_callers(self) -> None:
-        # All callers of a moment come to one gateway, and their engines fail. With equal parts it
-        # had 33 of 300 repeats among 9 gateways, and one among 200; the others needed none.
+        # All callers come to one gateway, and their engines fail. With equal shares it had 33 of
+        # 300 repeats among 9 gateways, and one among 200, while the other gateways needed none.
         for gateways in (9, 200, 410):
             with self.subTest(gateways=gateways):
                 fleet = _Fleet(gateways, RepeatBounds(0.0, 430, 10_000))
@@ -88,7 +88,7 @@
                 self.assertGreaterEqual(got, int(SAFETY * POOL_PART * 430))
 
     async def test_a_new_leader_gives_nothing_that_the_one_before_may_have_given(self) -> None:
-        # A leader gives out all it has and is cut off. Its successor knows nothing of that.
+        # A leader gives out all its repeats and is cut off. Its successor does not know of them.
         fleet = _Fleet(2, RepeatBounds(0.0, 40, 10_000))
         await fleet.clock.advance(10_000)
         self.assertEqual(await fleet.repeats_of(0, 50), 7 + 14)
@@ -106,7 +106,7 @@
         self,
     ) -> None:
         # One of four plain upstreams is gone and the others are full. Each refused request that is
-        # sent once more takes a place from another one, which is refused in its turn.
+        # sent again takes capacity from another request, which is refused in turn.
         for gateways in (9, 200):
             with self.subTest(gateways=gateways):
                 fleet = _Fleet(gateways, RepeatBounds(0.0, 430, 10_000))
@@ -115,8 +115,8 @@
                 self.assertLessEqual(got, (1 - POOL_PART) * 430 / gateways)
 
     async def test_without_a_leader_two_hundred_gateways_have_their_share_together(self) -> None:
-        # All hosts lost power. Drafts come before their adapters, and no gateway may send them
-        # again: the share of each is less than one repeat.
+        # After a power loss on all hosts, drafts arrive before their adapters are loaded. If shares
+        # below one repeat were rounded down, no gateway could send a draft again.
         for gateways in (9, 200, 410):
             with self.subTest(gateways=gateways):
                 fleet = _Fleet(gateways, RepeatBounds(0.0, 430, 10_000))
@@ -131,7 +131,7 @@
 
 
 class BorrowTest(unittest.IsolatedAsyncioTestCase):
-    """A gateway's question to the leader for one repeat."""
+    """A gateway asks the leader for one repeat."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -147,12 +147,12 @@
         questions = [self.client._out.get_nowait() for _ in asked]
         self.assertEqual({one.service for one in questions if isinstance(one, AskRepeat)}, {"s"})
         for question, given_ in zip(reversed(questions), (True, False), strict=True):
-            self.client._take(AnswerRepeat(question.number, given_), "address")
+            self.client._handle(AnswerRepeat(question.number, given_), "address")
         self.assertEqual([await one for one in asked], [False, True])
 
     async def test_a_leader_that_says_nothing_gives_nothing(self) -> None:
         self.client.connected = True
         asked = asyncio.ensure_future(self.client.borrow_repeat("s"))
-        await self.clock.advance(REPEAT_MS + 1)
+        await self.clock.advance(REPEAT_TIMEOUT_MS + 1)
         self.assertFalse(await asked)
-        self.client._take(AnswerRepeat(0, True), "address")
+        self.client._handle(AnswerRepeat(0, True), "address")
--- a/chestnutfall/tests/test_places.py
+++ b/chestnutfall/tests/test_selectors.py
@@ -1,7 +1,7 @@
-"""Where calls go when there is no leader, and which plain upstream gets one.
+"""Selection of engines without a leader, and selection among plain upstreams.
 
-A contractor's lookup waits behind a hung upstream, or a draft is refused in the second in which the
-controllers elect a leader although an engine with its adapter stands ready.
+Guards against two failures: a lookup waits behind a hung upstream, or a draft is refused during an
+election although an engine holds its adapter.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from ..coordination.holdings_diff import holdings_change
 from ..coordination.messages import Release, UpstreamsChange, Withdraw
 from ..forwarding.call import Call
-from ..forwarding.engine_places import LEADERLESS_WAIT_MS, EnginePlaces
+from ..forwarding.engine_selector import LEADERLESS_WAIT_MS, EngineSelector
 from ..forwarding.fleet_client import FleetClient, LeaderLost
 from ..forwarding.fleet_knowledge import FleetKnowledge
-from ..forwarding.place import NoPlace, Place, Wanted
-from ..forwarding.plain_places import PlainPlaces
+from ..forwarding.place import NoPlace, Place, SelectionCriteria
+from ..forwarding.plain_selector import PlainSelector
 from ..placement import AdapterName, Grant, PlaceRequest, ReadyAdapter, Reject, RunOutcome
 from ..placement.run_times import NO_TIMES
 from ..platform.document_json import DocumentJson
@@ -36,23 +36,23 @@
     return UpstreamRecord(instance, "s", f"127.0.0.1:{instance}", data_centre)
 
 
-def _wanted(avoid: tuple[str, ...] = (), until_ms: int = 4000) -> Wanted:
+def _criteria(avoid: tuple[str, ...] = (), until_ms: int = 4000) -> SelectionCriteria:
     call = Call("id", "POST", "/x", "/x", "h", (), b"", 0, until_ms, NAME)
-    return Wanted(call, ROUTE, ServiceSpec("s", None), avoid, until_ms)
+    return SelectionCriteria(call, ROUTE, ServiceSpec("s", None), avoid, until_ms)
 
 
 class _Fleet(FleetClient):
-    """A fleet of engines 1 and 2, whose leader answers from a script."""
+    """A client of a fleet with engines 1 and 2, whose leader answers from a script."""
 
     def __init__(self, clock: ManualClock, *answers: Grant | Reject | None) -> None:
         knowledge = FleetKnowledge(DocumentJson(), clock)
-        knowledge.take(UpstreamsChange((_upstream("1"), _upstream("2")), ()))
+        knowledge.apply(UpstreamsChange((_upstream("1"), _upstream("2")), ()))
         super().__init__("g", (), knowledge, clock)
         self._answers = list(answers)
-        self.told: list[object] = []
+        self.sent: list[object] = []
 
     def hold(self, *held: ReadyAdapter) -> None:
-        self.knowledge.take(holdings_change(True, held))
+        self.knowledge.apply(holdings_change(True, held))
 
     async def place(self, req: PlaceRequest) -> Grant | Reject:
         answer = self._answers.pop(0) if self._answers else None
@@ -60,27 +60,27 @@
             raise LeaderLost("scripted")
         return answer
 
-    def tell(self, msg: object) -> None:
-        self.told.append(msg)
+    def send(self, msg: object) -> None:
+        self.sent.append(msg)
 
 
-class EnginePlacesTest(unittest.IsolatedAsyncioTestCase):
+class EngineSelectorTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.clock = ManualClock()
 
-    def _places(self, fleet: _Fleet) -> EnginePlaces:
-        return EnginePlaces(fleet, known_signals(self.clock), self.clock, "g", "dc")
+    def _selector(self, fleet: _Fleet) -> EngineSelector:
+        return EngineSelector(fleet, known_signals(self.clock), self.clock, "g", "dc")
 
     async def test_without_a_leader_the_adapter_s_last_holders_are_used_in_turn(self) -> None:
         fleet = _Fleet(self.clock)
         fleet.hold(
             ReadyAdapter("1", NAME, 3), ReadyAdapter("2", NAME, 3), ReadyAdapter("gone", NAME, 3)
         )
-        places = self._places(fleet)
-        taken = [await places.take(_wanted()) for _ in range(4)]
+        selector = self._selector(fleet)
+        taken = [await selector.select(_criteria()) for _ in range(4)]
         self.assertEqual(sorted(one.upstream.instance for one in taken), ["1", "1", "2", "2"])
         self.assertEqual({one.version for one in taken}, {3})
-        avoiding = await places.take(_wanted(avoid=("1",)))
+        avoiding = await selector.select(_criteria(avoid=("1",)))
         self.assertEqual(avoiding.upstream.instance, "2")
 
     async def test_without_a_leader_an_engine_that_lacks_the_adapter_is_not_asked_again(
@@ -88,33 +88,33 @@
     ) -> None:
         fleet = _Fleet(self.clock)
         fleet.hold(ReadyAdapter("1", NAME, 3), ReadyAdapter("2", NAME, 3))
-        places = self._places(fleet)
-        wanted = dataclasses.replace(_wanted(), too_early=("1",))
-        taken = [await places.take(wanted) for _ in range(3)]
+        selector = self._selector(fleet)
+        criteria = dataclasses.replace(_criteria(), lacked_adapter=("1",))
+        taken = [await selector.select(criteria) for _ in range(3)]
         self.assertEqual({one.upstream.instance for one in taken}, {"2"})
 
-    # Guards against a call that tries one engine after another that want nothing.
+    # Guards against a call that tries one engine after another while all are backing off.
     async def test_without_a_leader_an_engine_that_wants_nothing_is_not_chosen(self) -> None:
         fleet = _Fleet(self.clock)
         fleet.hold(ReadyAdapter("1", NAME, 3), ReadyAdapter("2", NAME, 3))
         signals = known_signals(self.clock)
-        places = EnginePlaces(fleet, signals, self.clock, "g", "dc")
+        selector = EngineSelector(fleet, signals, self.clock, "g", "dc")
         signals.observe("1", UpstreamSignals(leaving=True), 0, succeeded=True)
-        taken = [await places.take(_wanted()) for _ in range(4)]
+        taken = [await selector.select(_criteria()) for _ in range(4)]
         self.assertEqual({one.upstream.instance for one in taken}, {"2"})
 
     async def test_without_leader_and_holder_it_waits_for_the_next_leader(self) -> None:
         fleet = _Fleet(self.clock, None, Grant("t", "1", 2, 0, 0))
-        taking = asyncio.ensure_future(self._places(fleet).take(_wanted()))
+        taking = asyncio.ensure_future(self._selector(fleet).select(_criteria()))
         await self.clock.advance(300)
         self.assertFalse(taking.done())
         fleet.connected = True
-        fleet._up.set()
+        fleet._connected_event.set()
         await self.clock.settle()
         self.assertEqual((await taking).upstream.instance, "1")
 
     async def test_it_is_refused_when_no_leader_comes(self) -> None:
-        taking = asyncio.ensure_future(self._places(_Fleet(self.clock)).take(_wanted()))
+        taking = asyncio.ensure_future(self._selector(_Fleet(self.clock)).select(_criteria()))
         await self.clock.advance(LEADERLESS_WAIT_MS + 10)
         with self.assertRaises(NoPlace) as raised:
             await taking
@@ -122,9 +122,9 @@
 
     async def test_a_place_on_an_engine_that_left_is_given_back(self) -> None:
         fleet = _Fleet(self.clock, Grant("t", "gone", 2, 0, 0), Grant("t", "1", 2, 0, 0))
-        taken = await self._places(fleet).take(_wanted())
+        taken = await self._selector(fleet).select(_criteria())
         self.assertEqual(taken.upstream.instance, "1")
-        self.assertEqual([type(msg) for msg in fleet.told], [Release])
+        self.assertEqual([type(msg) for msg in fleet.sent], [Release])
 
     async def test_a_caller_that_leaves_withdraws_its_request(self) -> None:
         class _Silent(_Fleet):
@@ -132,18 +132,18 @@
                 return await asyncio.get_running_loop().create_future()
 
         fleet = _Silent(self.clock)
-        taking = asyncio.ensure_future(self._places(fleet).take(_wanted()))
+        taking = asyncio.ensure_future(self._selector(fleet).select(_criteria()))
         await self.clock.settle()
         taking.cancel()
         await asyncio.gather(taking, return_exceptions=True)
-        self.assertEqual([type(msg) for msg in fleet.told], [Withdraw])
+        self.assertEqual([type(msg) for msg in fleet.sent], [Withdraw])
 
 
-class PlainPlacesTest(unittest.IsolatedAsyncioTestCase):
+class PlainSelectorTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.clock = ManualClock()
         self.upstreams = [_upstream("1"), _upstream("2")]
-        self.places = PlainPlaces(
+        self.selector = PlainSelector(
             lambda service: self.upstreams,
             known_signals(self.clock),
             ScriptedTurns().ask,
@@ -153,7 +153,7 @@
         )
 
     async def _take(self) -> Place:
-        return await self.places.take(_wanted())
+        return await self.selector.select(_criteria())
 
     async def test_calls_spread_over_equal_upstreams(self) -> None:
         taken = [(await self._take()).upstream.instance for _ in range(4)]
@@ -161,7 +161,7 @@
 
     async def test_whether_another_upstream_could_take_a_call_is_known(self) -> None:
         self.assertTrue((await self._take()).has_other)
-        avoiding = await self.places.take(_wanted(avoid=("1",)))
+        avoiding = await self.selector.select(_criteria(avoid=("1",)))
         self.assertEqual((avoiding.upstream.instance, avoiding.has_other), ("2", False))
         self.upstreams.pop()
         self.assertFalse((await self._take()).has_other)
@@ -169,15 +169,15 @@
     async def test_a_load_that_others_made_counts(self) -> None:
         first = await self._take()
         told = UpstreamLoad(running=5, waiting=3, places=6)
-        self.places.give_back(first, RunOutcome.DONE, NO_TIMES, told)
+        self.selector.release(first, RunOutcome.DONE, NO_TIMES, told)
         self.assertNotEqual((await self._take()).upstream.instance, first.upstream.instance)
 
     async def test_an_upstream_that_fails_is_left_and_tried_again_later(self) -> None:
         failing = (await self._take()).upstream.instance
         for _ in range(4):
             place = Place("x", _upstream(failing), 0)
-            self.places._of(place.upstream).own += 1
-            self.places.give_back(place, RunOutcome.BROKEN, NO_TIMES, None)
+            self.selector._of(place.upstream).own += 1
+            self.selector.release(place, RunOutcome.BROKEN, NO_TIMES, None)
         taken = {(await self._take()).upstream.instance for _ in range(5)}
         self.assertNotIn(failing, taken)
         await self.clock.advance(30_000)
--- a/properties/ablation_list.py
+++ b/properties/ablation_list.py
@@ -33,9 +33,10 @@
     ),
     Mutant(
         "waits go on when callers have left",
-        "chestnutfall/forwarding/engine_places.py",
-        "    return int(wanted.call.arrived_ms + patience.caller_ms(wanted.route))",
-        "    return wanted.until_ms",
+        "chestnutfall/forwarding/engine_selector.py",
+        "    return int(criteria.call.arrived_ms"
+        " + answer_timeouts.caller_timeout_ms(criteria.route))",
+        "    return criteria.until_ms",
         "",
     ),
     Mutant(
--- a/properties/safeguards/caller_mutants.py
+++ b/properties/safeguards/caller_mutants.py
@@ -1,4 +1,4 @@
-"""Safeguards between callers and engines of the OpenAI dialect."""
+"""Mutants of the safeguards between callers and engines with the OpenAI API."""
 
 from __future__ import annotations
 
--- a/properties/safeguards/fleet_mutants.py
+++ b/properties/safeguards/fleet_mutants.py
@@ -7,22 +7,22 @@
 FLEET_MUTANTS = (
     Mutant(
         "first word awaited equally long each time",
-        "chestnutfall/forwarding/leader_patience.py",
-        "min(2 * self.wait_ms(address), MOST_MS)",
-        "FIRST_MS",
+        "chestnutfall/forwarding/first_message_timeouts.py",
+        "min(2 * self.timeout_ms(address), MAX_TIMEOUT_MS)",
+        "INITIAL_TIMEOUT_MS",
         "chestnutfall.tests.test_leader_rush",
     ),
     Mutant(
         "new leader's count of gateways taken at its word",
         "chestnutfall/forwarding/recent_gateways.py",
-        "        if gateways >= self._most or now_ms - self._told_ms > REMEMBERED_MS:",
+        "        if gateways >= self._largest or now_ms - self._noted_ms > REMEMBERED_MS:",
         "        if True:",
         "chestnutfall.tests.test_leader_rush",
     ),
     Mutant(
         "calls refused while the gateway starts",
         "chestnutfall/forwarding/forwarder.py",
-        "self._routes.table or await self._first_table(call)",
+        "self._routes.table or await self._wait_for_first_table(call)",
         "self._routes.table",
         "chestnutfall.tests.test_forwarder",
     ),
@@ -78,14 +78,14 @@
     Mutant(
         "an engine without the adapter is asked again and again",
         "chestnutfall/forwarding/progress.py",
-        "        if came_too_early and instance not in self.too_early:",
-        "        if came_too_early:",
+        "        if lacks_adapter and instance not in self.lacked_adapter:",
+        "        if lacks_adapter:",
         "chestnutfall.tests.test_forwarder",
     ),
     Mutant(
         "who comes before its adapter is placed elsewhere",
         "chestnutfall/forwarding/progress.py",
-        "        if came_too_early and instance not in self.too_early:",
+        "        if lacks_adapter and instance not in self.lacked_adapter:",
         "        if False:",
         "chestnutfall.tests.test_forwarder",
     ),
@@ -106,8 +106,8 @@
     Mutant(
         "late calls are taken while leaving",
         "chestnutfall/forwarding/drain.py",
-        "UNTIL_BALANCED_MS = 2_500",
-        "UNTIL_BALANCED_MS = 3_000",
+        "BALANCER_NOTICE_MS = 2_500",
+        "BALANCER_NOTICE_MS = 3_000",
         "chestnutfall.tests.test_fleet_parts",
     ),
     Mutant(
@@ -120,7 +120,7 @@
     Mutant(
         "shares of less than one repeat are none",
         "chestnutfall/forwarding/shared_retry_budget.py",
-        "SAFETY * own + self._chance:",
+        "SAFETY * own + self._rounding_offset:",
         "SAFETY * own:",
         "chestnutfall.tests.test_repeats",
     ),
--- a/properties/safeguards/limit_mutants.py
+++ b/properties/safeguards/limit_mutants.py
@@ -96,7 +96,7 @@
     ),
     Mutant(
         "plain upstreams are chosen without a turn",
-        "chestnutfall/forwarding/plain_places.py",
+        "chestnutfall/forwarding/plain_selector.py",
         "        if self._signals.limits.per_s(chosen.instance) is not None:",
         "        if False:",
         f"{_TOGETHER}.test_any_number_of_gateways_keeps_a_limit_and_uses_it",
--- a/properties/safeguards/quarantine_mutants.py
+++ b/properties/safeguards/quarantine_mutants.py
@@ -1,4 +1,4 @@
-"""Safeguards against requests that end the upstreams that run them."""
+"""Mutants of the safeguards against requests that end the upstreams that run them."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     Mutant(
         "no look at the quarantine after the wait for a place",
         "chestnutfall/forwarding/forwarder.py",
-        "            if await self._is_quarantined(progress, reply):\n"
-        "                places.give_back",
-        "            if False:\n                places.give_back",
+        "            if await self._refuse_if_quarantined(progress, reply):\n"
+        "                selector.release",
+        "            if False:\n                selector.release",
         _FORWARDER,
     ),
     Mutant(
--- a/properties/safeguards/quota_mutants.py
+++ b/properties/safeguards/quota_mutants.py
@@ -89,8 +89,8 @@
     Mutant(
         "a gateway forgets its upstreams while it is told them anew",
         "chestnutfall/forwarding/known_upstreams.py",
-        "                    self._coming = {}\n",
-        "                    self._coming = {}\n                    self._held = {}\n",
+        "                    self._incoming = {}\n",
+        "                    self._incoming = {}\n                    self._current = {}\n",
         _DISSEMINATION,
     ),
     Mutant(
--- a/properties/safeguards/signal_mutants.py
+++ b/properties/safeguards/signal_mutants.py
@@ -40,17 +40,17 @@
     ),
     Mutant(
         "places from memory are on engines that want nothing",
-        "chestnutfall/forwarding/engine_places.py",
+        "chestnutfall/forwarding/engine_selector.py",
         "            and self._signals.may_send(held.instance)\n",
         "",
-        "chestnutfall.tests.test_places.EnginePlacesTest"
+        "chestnutfall.tests.test_selectors.EngineSelectorTest"
         ".test_without_a_leader_an_engine_that_wants_nothing_is_not_chosen",
     ),
     Mutant(
         "plain upstreams that want nothing are chosen",
-        "chestnutfall/forwarding/plain_places.py",
-        "wanting = [one for one in upstreams if self._signals.may_send(one.instance)]",
-        "wanting = list(upstreams)",
+        "chestnutfall/forwarding/plain_selector.py",
+        "accepting = [one for one in upstreams if self._signals.may_send(one.instance)]",
+        "accepting = list(upstreams)",
         f"{_TOGETHER}.test_one_call_meets_several_that_ask_for_time",
     ),
     Mutant(
