--- a/chestnutfall/caller_edge/caller_app.py
+++ b/chestnutfall/caller_edge/caller_app.py
@@ -16,7 +16,7 @@
 from ..observability.metrics import Metrics
 from ..plain_edge import PlainProxy
 from ..requests import CallerRequest, Refusal, digest_of
-from ..routing import ClaimDesk, Dispatcher, WantedClaim
+from ..routing import ClaimClient, ClaimRequest, Dispatcher
 from .caller_limits import CallerLimits
 from .error_body import error_headers, error_text
 from .request_parser import parse_request
@@ -35,7 +35,7 @@
         self,
         agent: SiteAgent,
         dispatcher: Dispatcher,
-        claims: ClaimDesk,
+        claims: ClaimClient,
         plain: PlainProxy,
         limits: CallerLimits,
         clock: Clock,
@@ -166,7 +166,7 @@
     async def _run(self, request: web.Request, req: CallerRequest) -> web.StreamResponse:
         if not req.claim_key:
             return await self._answer(request, req)
-        wanted = WantedClaim(
+        wanted = ClaimRequest(
             req.caller,
             req.claim_key,
             digest_of(req.path, req.body),
--- a/chestnutfall/plain_edge/plain_proxy.py
+++ b/chestnutfall/plain_edge/plain_proxy.py
@@ -15,7 +15,7 @@
 from ..observability.metrics import Metrics
 from ..quarantine import RequestQuarantine
 from ..requests import NOT_RUN_STATUSES, Executed, Refusal, digest_of, fingerprint_of
-from ..routing import ClaimDesk, WantedClaim
+from ..routing import ClaimClient, ClaimRequest
 from ..signals import BACKING_OFF, UnreadHeaders, read_signals
 from ..signals.known_signals import KnownSignals
 from ..signals.own_headers import OWN_SIGNALS
@@ -53,7 +53,7 @@
         self,
         agent: SiteAgent,
         registry: UpstreamRegistry,
-        claims: ClaimDesk,
+        claims: ClaimClient,
         quarantine: RequestQuarantine,
         signals: KnownSignals,
         clock: Clock,
@@ -93,7 +93,7 @@
         fingerprint = fingerprint_of(caller_name, place, body)
         if not key:
             return await self._relay(request, name, service, body, fingerprint, once)
-        wanted = WantedClaim(
+        wanted = ClaimRequest(
             caller_name,
             key,
             digest_of(place, body),
--- a/chestnutfall/programs/gateway.py
+++ b/chestnutfall/programs/gateway.py
@@ -27,7 +27,7 @@
 from ..plain_edge import PlainProxy
 from ..quarantine import ReportLine, RequestQuarantine, refuses_connections
 from ..quota.quota_enforcer import QuotaEnforcer
-from ..routing import ClaimDesk, Dispatcher
+from ..routing import ClaimClient, Dispatcher
 from ..settings.gateway_settings import GatewaySettings
 from ..settings.quota_bounds import OFFICE
 from ..signals import UnreadHeaders
@@ -92,7 +92,7 @@
         )
         self._peer_server = PeerServer(self._desk, self._clock)
         self._links = PeerLinks(self._agent, self._desk, self._clock, tls)
-        self._claims = ClaimDesk(self._client, session)
+        self._claims = ClaimClient(self._client, session)
         reports = ReportLine(self._client)
         quarantine = RequestQuarantine(reports.tell, refuses_connections, self._clock)
         self._agent.on_suspects = quarantine.take
--- a/chestnutfall/routing/__init__.py
+++ b/chestnutfall/routing/__init__.py
@@ -1,17 +1,17 @@
-"""From a checked request to an answer: engine, ticket, dispatch, retry, claim."""
+"""Dispatch of checked requests to engines: engine choice, tickets, retries and claims."""
 
 from __future__ import annotations
 
-from .claim_desk import ClaimDesk
+from .claim_client import ClaimClient
+from .claim_request import ClaimRequest
 from .dispatcher import Dispatcher
 from .engine_choice import engine_candidates
 from .retry_budget import RetryBudget
-from .wanted_claim import WantedClaim
 
 __all__ = [
-    "ClaimDesk",
+    "ClaimClient",
     "Dispatcher",
     "RetryBudget",
-    "WantedClaim",
+    "ClaimRequest",
     "engine_candidates",
 ]
--- a/chestnutfall/routing/claim_desk.py
+++ b/chestnutfall/routing/claim_client.py
@@ -1,4 +1,4 @@
-"""Claims for requests that must run at most once."""
+"""Claims on the controllers for requests that must run at most once."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ..control.commands import ClaimHeld, ClaimTaken, EndClaim, TakeClaim
 from ..control.control_client import ControlClient, NoController
 from ..requests import Executed, Refusal
-from .wanted_claim import WantedClaim
+from .claim_request import ClaimRequest
 
 log = logging.getLogger(__name__)
 CLAIM_DEADLINE_MS = 2500
@@ -19,8 +19,8 @@
 RETRY_AFTER_MS = 1000
 
 
-class ClaimDesk:
-    """Takes claims before dispatch and ends them after."""
+class ClaimClient:
+    """Takes a claim before a non-idempotent request is dispatched, and ends it afterwards."""
 
     def __init__(self, client: ControlClient, session: str) -> None:
         self._client = client
@@ -28,15 +28,17 @@
         self._ending: set[asyncio.Task[None]] = set()
 
     @asynccontextmanager
-    async def held(self, wanted: WantedClaim) -> AsyncIterator[None]:
-        """Hold a claim for the one run inside the context, and record how it ended.
+    async def held(self, req: ClaimRequest) -> AsyncIterator[None]:
+        """Hold a claim while the request runs inside the context, and record how the run ended.
+
+        The claim is released if the run ends with a Refusal that states that nothing ran.
 
         Raises
         ------
         Refusal
-            From `take`, before anything runs.
+            When the claim could not be taken; nothing was run.
         """
-        await self.take(wanted)
+        await self.take(req)
         status: ClaimStatus | None = ClaimStatus.UNKNOWN
         try:
             yield
@@ -46,30 +48,31 @@
                 status = None
             raise
         finally:
-            self.end(wanted, status)
+            self.end(req, status)
 
-    async def take(self, wanted: WantedClaim) -> None:
-        """Return when the claim is committed.
+    async def take(self, req: ClaimRequest) -> None:
+        """Take a claim; return once it is committed.
 
         Raises
         ------
         Refusal
-            When another attempt holds it, or no quorum confirmed it; nothing was run.
+            When another attempt holds the claim, or no quorum confirmed it; nothing was run.
         """
         msg = TakeClaim(
-            wanted.caller,
-            wanted.key,
-            wanted.body_digest,
-            wanted.attempt_id,
+            req.caller,
+            req.key,
+            req.body_digest,
+            req.attempt_id,
             self._session,
-            wanted.retention_ms,
+            req.retention_ms,
         )
         try:
             reply = await self._client.ask(msg, CLAIM_DEADLINE_MS)
         except (NoController, asyncio.CancelledError) as exc:
-            # The claim may have been committed although no answer came. Nothing was dispatched,
-            # so it is released; until that is through a repeat is told that the state is unknown.
-            self.end(wanted, None)
+            # The claim may have been committed although no answer came. Nothing was dispatched, so
+            # it is released. Until the release is committed, a repeat gets the answer that the
+            # state is unknown.
+            self.end(req, None)
             if isinstance(exc, asyncio.CancelledError):
                 raise
             raise Refusal(
@@ -83,14 +86,14 @@
             case ClaimTaken():
                 return
             case ClaimHeld(claim):
-                raise _held(claim.status, claim.body_digest == wanted.body_digest)
+                raise _refusal_for_held_claim(claim.status, claim.body_digest == req.body_digest)
             case _:
                 raise Refusal(400, "bad_idempotency_key", str(reply))
 
-    def end(self, wanted: WantedClaim, status: ClaimStatus | None) -> None:
-        """Record how the attempt ended, in the background; None releases the claim."""
+    def end(self, req: ClaimRequest, status: ClaimStatus | None) -> None:
+        """Record in the background how the attempt ended; a `status` of None releases the claim."""
         task = asyncio.ensure_future(
-            self._end(EndClaim(wanted.caller, wanted.key, wanted.attempt_id, status))
+            self._end(EndClaim(req.caller, req.key, req.attempt_id, status))
         )
         self._ending.add(task)
         task.add_done_callback(self._ending.discard)
@@ -99,14 +102,17 @@
         try:
             await self._client.ask(msg, END_DEADLINE_MS)
         except NoController:
-            log.warning("claims: the end of %s was not recorded; it stays unknown", msg.attempt_id)
+            log.warning(
+                "claims: the end of attempt %s was not recorded, its state stays unknown",
+                msg.attempt_id,
+            )
 
     async def close(self) -> None:
-        """Wait until all ends are recorded."""
+        """Wait until the ends of all attempts are recorded."""
         await asyncio.gather(*self._ending, return_exceptions=True)
 
 
-def _held(status: ClaimStatus, same_body: bool) -> Refusal:
+def _refusal_for_held_claim(status: ClaimStatus, same_body: bool) -> Refusal:
     if not same_body:
         return Refusal(
             409,
--- a/chestnutfall/routing/dispatcher.py
+++ b/chestnutfall/routing/dispatcher.py
@@ -1,4 +1,4 @@
-"""Runs a request: ticket, dispatch, checks, resume, retry."""
+"""Processing of a request: ticket, dispatch, checks of the answer, resume and retry."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Dispatcher:
-    """Runs requests on engines, one attempt after another."""
+    """Runs requests on engines, with as many attempts as needed and allowed."""
 
     def __init__(
         self,
@@ -68,12 +68,14 @@
         self._cancels: set[asyncio.Task[None]] = set()
 
     async def answer(self, req: CallerRequest) -> Batches:
-        """Yield the answer's events as they come; the last one only when the answer is whole.
+        """Run a request and yield the events of its answer.
+
+        Yields batches of events as they arrive; the last event comes only if the answer is whole.
 
         Raises
         ------
         Refusal
-            When the answer could not be had, or breaks off after events were yielded.
+            When no engine gives an answer, or the answer breaks off after events were yielded.
         """
         self._budget.earn()
         executed = Executed.NO
@@ -89,10 +91,10 @@
                 self._quarantine.answered(fingerprint)
                 return
             except Refusal as refusal:
-                # No ticket for a repeat proves nothing about the attempt before it.
+                # A refused ticket for a repeat proves nothing about the previous attempt.
                 if executed is Executed.NO:
                     raise
-                raise _as_executed(refusal, executed) from refusal
+                raise _with_executed(refusal, executed) from refusal
             except EngineRefused as exc:
                 failure: EngineRefused | EngineBroken = exc
                 if exc.final:
@@ -127,15 +129,16 @@
     async def _attempt(self, req: CallerRequest, attempt_id: str, fingerprint: str) -> Batches:
         parent = _PROPAGATOR.extract(req.trace)
         with self._tracer.start_span("admission", context=parent) as span:
-            engine = await self._engine_for(req, attempt_id)
+            engine = await self._acquire_engine(req, attempt_id)
             span.set_attribute("engine", engine.name)
         span = self._tracer.start_span("dispatch", context=parent)
         began_ms = self._clock.now_ms()
         try:
-            # It waited for its ticket, and another copy of it may have ended the third engine.
+            # The request waited for its ticket. Meanwhile another copy of it may have ended enough
+            # engines to be quarantined.
             self._quarantine.check(fingerprint)
-            # A gateway that was frozen may have lost its session since it was given the ticket;
-            # the owner no longer counts on it then and may have evicted the adapter.
+            # A gateway that was suspended for a while may have lost its session since it got the
+            # ticket. The engine's owner then ignores the ticket and may have evicted the adapter.
             if not self._agent.has_session():
                 raise EngineRefused("session_lost", "this gateway lost its session")
             headers: dict[str, str] = {}
@@ -146,7 +149,7 @@
         except EngineBroken as exc:
             instance = engine.instance
             log.info(
-                "dispatch: id=%s content=%s instance=%s broke: %s",
+                "dispatch: id=%s content=%s instance=%s answer lost or invalid: %s",
                 attempt_id,
                 fingerprint,
                 instance,
@@ -158,12 +161,12 @@
             span.end()
             self._links.end(engine.name, attempt_id)
 
-    async def _engine_for(self, req: CallerRequest, attempt_id: str) -> Upstream:
-        """An engine that gave a ticket and wants the request."""
+    async def _acquire_engine(self, req: CallerRequest, attempt_id: str) -> Upstream:
+        """Return an engine whose owner granted a ticket and that is not backing off."""
         engine = await self._tickets.acquire(req, attempt_id)
         while not self._signals.may_send(engine.instance):
-            # It asked for time while the ticket was waited for. Nothing was sent, so that another
-            # ticket costs no repeat.
+            # The engine started to back off while the ticket was awaited. Nothing was sent, so
+            # another ticket costs no repeat.
             self._links.end(engine.name, attempt_id)
             engine = await self._tickets.acquire(req, attempt_id)
         return engine
@@ -176,9 +179,9 @@
         def on_signals(signals: UpstreamSignals, succeeded: bool) -> None:
             self._signals.observe(engine.instance, signals, sent_ms, succeeded)
 
-        # A pooled connection may have gone silent while it was idle. A request lost on it could
-        # have run as far as we know, and could not be repeated; a connection made for it that
-        # fails proves that it did not run.
+        # A pooled connection may have died while it was idle. A request lost on it may have run and
+        # could not be repeated. A failure to open a new connection proves that the request did not
+        # run.
         return EngineRequest(
             attempt_id,
             req.path,
@@ -199,7 +202,7 @@
         try:
             while not gate.whole:
                 try:
-                    async for events in self._passed_on(batches, gate):
+                    async for events in self._checked_batches(batches, gate):
                         yield events
                 except (EngineBroken, EngineRefused) as exc:
                     if resumes == 0 and gate.seen == 0 and isinstance(exc, EngineRefused):
@@ -208,7 +211,7 @@
                     if resumes > MAX_RESUMES or not _may_resume(exc, req, gate.seen):
                         self._raise_broken(exc)
                     self._metrics.count("resumes")
-                    await self._clock.sleep_ms(self._before_resume_ms(engine, req, resumes))
+                    await self._clock.sleep_ms(self._resume_wait_ms(engine, req, resumes))
                     self._links.note_resume(engine.name)
                     batches = self._api.resume(engine.address, req, gate.seen)
         finally:
@@ -218,7 +221,7 @@
                 self._cancel(engine, req.attempt_id)
 
     @staticmethod
-    async def _passed_on(batches: Batches, gate: AnswerGate) -> Batches:
+    async def _checked_batches(batches: Batches, gate: AnswerGate) -> Batches:
         async for batch in batches:
             events, failure = gate.pass_on(batch)
             if events:
@@ -231,15 +234,15 @@
         if failure is not None:
             raise failure
 
-    def _before_resume_ms(self, engine: Upstream, req: EngineRequest, resumes: int) -> float:
-        """How long to wait with asking for the rest of a run.
+    def _resume_wait_ms(self, engine: Upstream, req: EngineRequest, resumes: int) -> float:
+        """Return how long to wait before resuming a run, in ms.
 
-        An engine that leaves is asked: it has the run, and nobody else has it.
+        An engine that is leaving is asked without its backoff, since no other engine has the run.
 
         Raises
         ------
         EngineBroken
-            When it wants nothing for longer than it may be silent.
+            When the engine backs off for longer than it may be silent.
         """
         left_ms = self._signals.backoffs.left_ms(engine.instance)
         if math.isinf(left_ms):
@@ -252,24 +255,24 @@
     def _raise_broken(exc: EngineBroken | EngineRefused) -> NoReturn:
         if isinstance(exc, EngineBroken):
             raise exc
-        # A refusal to resume says nothing of the first dispatch, which may have run.
+        # A refusal to resume says nothing about the first dispatch, which may have run.
         raise EngineBroken(exc.code, str(exc)) from exc
 
     def _cancel(self, engine: Upstream, attempt_id: str) -> None:
-        """Free the engine's place in the background; the caller may be gone already."""
+        """Cancel the run on the engine in the background; the caller may be gone."""
         task = asyncio.ensure_future(self._api.cancel(engine.address, attempt_id))
         self._cancels.add(task)
         task.add_done_callback(self._cancels.discard)
 
 
-def _as_executed(refusal: Refusal, executed: Executed) -> Refusal:
+def _with_executed(refusal: Refusal, executed: Executed) -> Refusal:
     return Refusal(refusal.status, refusal.code, refusal.message, executed, refusal.retry_after_ms)
 
 
 def _may_resume(exc: EngineBroken | EngineRefused, req: EngineRequest, seen: int) -> bool:
-    """Whether the same run may be asked for the rest of its answer.
+    """Whether the run may be resumed to get the rest of its answer.
 
-    That never starts a second run: an engine that does not hold the attempt refuses.
+    Resuming never starts a second run: an engine that does not hold the attempt refuses.
     """
     wrong = exc.code in ("wrong_answer", "wrong_model", "bad_answer", "run_unknown", "run_failed")
     return req.stream and seen > 0 and not wrong
--- a/chestnutfall/routing/engine_choice.py
+++ b/chestnutfall/routing/engine_choice.py
@@ -1,4 +1,4 @@
-"""Which engine to ask for a ticket."""
+"""Choice of the engine whose owner is asked for a ticket."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from ..ownership import EngineView
 
 LOAD_COST = 1.5
-"""Loading an adapter costs as much as this many full batches ahead."""
+"""Cost of loading an adapter, in full batches queued ahead."""
 DISTANCE_COST = 0.1
 WAIT_COST_PER_S = 1.0
-"""Waiting a second for an engine that names a limit costs as much as a full batch ahead."""
+"""Cost of one second's wait at an engine with a rate limit, in full batches queued ahead."""
 _HASH_RANGE = float(1 << 64)
 HASH_COST = 0.5
 
@@ -25,14 +25,19 @@
     data_centre: str,
     batch: int,
 ) -> Iterator[Upstream]:
-    """Yield engines that may run `adapter`, best first.
+    """Yield engines that may run `adapter`, the best first.
+
+    Engines are compared by load, by whether they hold the adapter, by the wait for their rate
+    limit, and by data centre.
 
     Parameters
     ----------
     upstreams : iterable of Upstream
         Serving engines of the service.
     views : iterable of EngineView
-        What owners publish; engines without a view can't give tickets.
+        States that the owners publish; engines without one can't grant tickets.
+    data_centre : str
+        Data centre of this gateway.
     batch : int
         Requests that one engine runs at once.
     """
@@ -48,8 +53,8 @@
 def _cost(view: EngineView, up: Upstream, adapter: str, data_centre: str, batch: int) -> float:
     cost = (view.running + view.waiting) / batch
     if adapter not in view.ready:
-        # Entries that miss at the same moment should load on the same engine: the hash gives
-        # each adapter a preferred one that all of them agree on.
+        # Gateways that miss an adapter at the same moment should load it on the same engine. The
+        # hash gives each adapter a preferred engine on which they all agree.
         preference: int = mmh3.hash64(f"{adapter}|{view.engine}", signed=False)[0]
         cost += LOAD_COST + HASH_COST * preference / _HASH_RANGE
     cost += WAIT_COST_PER_S * view.send_wait_ms / 1000
--- a/chestnutfall/routing/retry_budget.py
+++ b/chestnutfall/routing/retry_budget.py
@@ -1,4 +1,4 @@
-"""How many retries a gateway may send in all."""
+"""Budget of retries on one gateway."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 
 class RetryBudget:
-    """Tokens earned by requests and spent by retries.
+    """Token budget that requests fill and retries spend.
 
-    When most attempts fail, retries multiply the load on whatever is left. With the budget they
-    add a tenth at most, whatever each request would be allowed by its deadline.
+    When most attempts fail, retries multiply the load on the remaining engines. The budget limits
+    them to a tenth of the requests, whatever each request's deadline would allow.
     """
 
     def __init__(self) -> None:
         self._tokens = MAX_TOKENS
 
     def earn(self) -> None:
-        """Note a new request."""
+        """Add the share of a new request."""
         self._tokens = min(self._tokens + PER_REQUEST, MAX_TOKENS)
 
     def spend(self) -> bool:
-        """Take one retry; False when there is none left."""
+        """Take one retry; return False if none is left."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/chestnutfall/routing/tickets.py
+++ b/chestnutfall/routing/tickets.py
@@ -1,4 +1,4 @@
-"""Asking owners of engines for a ticket."""
+"""Tickets from the owners of engines."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Tickets:
-    """Chooses an engine for an attempt and gets its owner's word for it."""
+    """Selects an engine for an attempt and gets a ticket from the engine's owner."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self._data_centre = data_centre
 
     async def acquire(self, req: CallerRequest, attempt_id: str) -> Upstream:
-        """Return the engine whose owner gave a ticket.
+        """Return the engine whose owner granted a ticket.
 
         Raises
         ------
@@ -58,12 +58,12 @@
                 outcome = await self._ask(req, attempt_id, engine)
                 if isinstance(outcome, TicketGrant):
                     return engine
-                refusal = _sooner(refusal, outcome)
+                refusal = _earlier_refusal(refusal, outcome)
                 if outcome.code not in _OWNER_CODES and outcome.code != LIMITED:
                     break
             waited_ms = self._clock.now_ms() - asked_ms
-            # An engine is without an owner only for the seconds in which it moves; anything else
-            # is final, and the caller is told at once when to come back.
+            # An engine has no owner only for a few seconds while ownership moves, so these refusals
+            # are retried. All other refusals are final, and the caller gets a retry time at once.
             moving = refusal.code in _OWNER_CODES or refusal.code == "no_engine"
             late = self._clock.now_ms() + OWNER_POLL_MS >= req.deadline_ms
             if not moving or waited_ms > OWNER_WAIT_MS or late or not self._any_engine(req):
@@ -74,12 +74,17 @@
             await self._clock.sleep_ms(OWNER_POLL_MS)
 
     def refuse_if_held_back(self, req: CallerRequest, executed: Executed) -> None:
-        """Refuse a request at once if no engine of its service wants work from this gateway.
+        """Refuse a request if all engines of its service are backing off.
+
+        Parameters
+        ----------
+        executed : Executed
+            Whether previous attempts may have run the request.
 
         Raises
         ------
         Refusal
-            With what is known of the attempts before.
+            With `executed` and a retry time.
         """
         serving = self._registry.serving(req.service)
         held_back_ms = self._signals.held_back_ms(one.instance for one in serving)
@@ -115,8 +120,8 @@
         return await self._links.acquire(ticket)
 
 
-def _sooner(before: TicketRefusal, now: TicketRefusal) -> TicketRefusal:
-    """The refusal that counts; of several engines that are limited, the one that is free first."""
+def _earlier_refusal(before: TicketRefusal, now: TicketRefusal) -> TicketRefusal:
+    """Return the later refusal, or the one with the earlier retry if rate limits caused both."""
     if before.code != LIMITED or now.code != LIMITED:
         return now
     return min(before, now, key=lambda one: one.retry_after_ms)
--- a/chestnutfall/tests/fakes/completion_case.py
+++ b/chestnutfall/tests/fakes/completion_case.py
@@ -1,4 +1,4 @@
-"""Completions through the gateways of one office, one after another."""
+"""Base of tests that send completions through the gateways of one site in turn."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 
 
 class CompletionCase(unittest.IsolatedAsyncioTestCase):
-    """A steady load, and what its callers got.
+    """Sends a steady load and counts the results.
 
     Attributes
     ----------
     asked, served : int
-        Calls, and those that got a whole answer.
+        Requests sent, and those that got a whole answer.
     refusals : list of Refusal
-        What the others got.
+        Refusals of all other requests.
     refused_after_ms : list of int
-        How long that took.
+        Time from each refused request to its refusal.
     """
 
     async def asyncSetUp(self) -> None:
-        # Its loop would keep the stack of each callback; that is most of the time here.
+        # In debug mode the event loop records the stack of every callback, which takes most of the
+        # time here.
         asyncio.get_running_loop().set_debug(False)
         self.office = FakeOffice()
         self.refusals: list[Refusal] = []
--- a/chestnutfall/tests/fakes/fake_office.py
+++ b/chestnutfall/tests/fakes/fake_office.py
@@ -1,4 +1,4 @@
-"""Real gateways' decisions before fake engines, on one manual clock."""
+"""A deployment at one site: the real decision code of gateways, fake engines, a manual clock."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from ...ownership.load_permits import ControllerPermits
 from ...quarantine import ReportLine, RequestQuarantine
 from ...requests import CallerRequest, digest_of
-from ...routing import ClaimDesk, Dispatcher, WantedClaim
+from ...routing import ClaimClient, ClaimRequest, Dispatcher
 from ...signals.known_backoffs import KnownBackoffs
 from ...signals.known_signals import KnownSignals
 from .fake_control import FakeControl, FakeControlClient
@@ -34,7 +34,7 @@
 
 
 class FakeGateway:
-    """The decision parts of one gateway, without its sockets."""
+    """One gateway's objects, from admission to dispatch, without sockets."""
 
     def __init__(self, office: FakeOffice, name: str) -> None:
         self.office = office
@@ -58,7 +58,7 @@
             lambda other: other not in self.agent.gateways and other != self.session,
         )
         self.links = FakeLinks(self.agent, self.desk, self.clock, lambda: office.by_session())
-        self.claims = ClaimDesk(self.client, self.session)
+        self.claims = ClaimClient(self.client, self.session)
         reports = ReportLine(self.client)
         self.quarantine = RequestQuarantine(
             reports.tell, office.engines.refuses_connections, self.clock
@@ -104,14 +104,22 @@
             self.desk.reconcile_ownership()
 
     async def kill(self) -> None:
-        """The process is gone without a word."""
+        """End the process at once, without any message to others."""
         self.alive = False
         self.clock.freeze()
         for task in self.tasks:
             task.cancel()
 
     def request(self, model: str, text: str = "", **headers: str) -> CallerRequest:
-        """A caller's request as this gateway understands it."""
+        """Build a caller's request as this gateway parses it.
+
+        Parameters
+        ----------
+        model : str
+            Adapter, with `@version` for an exact version.
+        headers : str
+            Headers by name, with `_` in place of `-`.
+        """
         body = json.dumps({"model": model, "stream": True, "prompt": text}).encode()
         named = {name.replace("_", "-"): value for name, value in headers.items()}
         return parse_request(
@@ -119,17 +127,25 @@
         )
 
     async def answer(self, req: CallerRequest) -> list[bytes]:
-        """Run a request to its end, under its claim if it has a key; return its events' data."""
+        """Run a request, under a claim if it has a key, and return the data of its events."""
         if not req.claim_key:
             return [event.data async for events in self.dispatcher.answer(req) for event in events]
         digest = digest_of(req.path, req.body)
-        wanted = WantedClaim(req.caller, req.claim_key, digest, req.request_id, 3_600_000)
+        wanted = ClaimRequest(req.caller, req.claim_key, digest, req.request_id, 3_600_000)
         async with self.claims.held(wanted):
             return [event.data async for events in self.dispatcher.answer(req) for event in events]
 
 
 class FakeOffice:
-    """Controllers, gateways and engines of one site."""
+    """Controllers, gateways and engines of one site.
+
+    Attributes
+    ----------
+    announced : dict
+        Engine and announced state ("serving" or "leaving") by engine name.
+    gateways : dict of str to FakeGateway
+        Gateways by name.
+    """
 
     def __init__(self, seed: int = 1) -> None:
         self.control = FakeControl(seed)
@@ -141,11 +157,11 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def by_session(self) -> dict[str, FakeGateway]:
-        """Gateways by session."""
+        """Return the gateways by session."""
         return {gateway.session: gateway for gateway in self.gateways.values()}
 
     async def start(self, gateways: int = 2, engines: int = 1, slots: int = 2) -> None:
-        """Start everything and wait until each engine has an owner that acts."""
+        """Start all processes and wait until each engine has an acting owner."""
         await self.control.start()
         await self.control.change(self._first_configuration())
         for number in range(engines):
@@ -156,14 +172,14 @@
         await self.clock.advance(3000)
 
     def add_engine(self, name: str, slots: int, checked: bool = True) -> FakeEngine:
-        """Add an engine that announces itself."""
+        """Add an engine that announces itself to all gateways."""
         engine = FakeEngine(self.clock, slots, checked)
         self.engines.by_address[f"127.0.0.1:{len(self.announced) + 1}"] = engine
         self.announced[name] = (engine, "serving")
         return engine
 
     def engine(self, number: int = 0) -> FakeEngine:
-        """The engine by number."""
+        """Return the engine with this number."""
         return self.announced[f"engine-{number}"][0]
 
     def add_gateway(self, name: str) -> FakeGateway:
@@ -172,15 +188,15 @@
         return self.gateways[name]
 
     def gateway(self, number: int = 0) -> FakeGateway:
-        """The gateway by number."""
+        """Return the gateway with this number."""
         return self.gateways[f"entry-{number}"]
 
     def owner(self, engine: str = "engine-0") -> FakeGateway:
-        """The gateway that owns `engine` as the controllers know it."""
+        """Return the gateway that owns `engine`, by the controllers' state."""
         return self.by_session()[self.control.state.owners[engine].owner]
 
     def other(self, gateway: FakeGateway) -> FakeGateway:
-        """Some other living gateway."""
+        """Return another gateway that is alive."""
         return next(g for g in self.gateways.values() if g is not gateway and g.alive)
 
     async def _announce(self) -> None:
@@ -204,7 +220,7 @@
             await self.clock.sleep_ms(ANNOUNCE_MS)
 
     async def finish(self, work: Coroutine[Any, Any, Any], within_ms: int = 20_000) -> Any:
-        """Let time pass until `work` has ended, and return what it gave."""
+        """Advance the clock until `work` has ended, and return its result."""
         task = asyncio.ensure_future(work)
         for _ in range(within_ms // 10):
             if task.done():
@@ -216,11 +232,11 @@
         return task.result()
 
     async def done(self, task: asyncio.Task[Any], within_ms: int = 20_000) -> Any:
-        """Let time pass until `task` has ended, and return what it gave."""
+        """Advance the clock until `task` has ended, and return its result."""
         return await self.finish(_wait(task), within_ms)
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop the gateways, the announcements and the controllers."""
         for gateway in self.gateways.values():
             await gateway.kill()
         for task in self._tasks:
--- a/chestnutfall/tests/test_at_most_once.py
+++ b/chestnutfall/tests/test_at_most_once.py
@@ -1,6 +1,6 @@
-"""Non-idempotent requests run at most once, whatever is lost on the way.
+"""Non-idempotent requests run at most once, whichever message or process is lost.
 
-A household gets two estimates. The caller repeats a request whose answer it did not get, through
+Guards against a second run when a caller repeats a request whose answer it did not get: through
 another gateway, while the first run goes on, after a restart, or while no controller answers.
 """
 
@@ -62,8 +62,8 @@
         self.assertEqual(self._runs(), 1)
 
     async def test_repeat_after_the_gateway_died_is_told_that_nothing_is_known(self) -> None:
-        # The gateway dies with the answer half sent. It can't say any more how the run ended, so
-        # a repeat must neither run nor be told that the first one is still running.
+        # The gateway dies with the answer half sent, so the end of the run is unknown. A repeat
+        # must neither run nor be told that the first run is still going on.
         for engine, _ in self.office.announced.values():
             engine.tokens = 100
         req = self.first.request("once@1", "roof", Idempotency_Key="estimate-1")
@@ -88,7 +88,8 @@
         self.assertIn(("ana", "estimate-1"), claims)
 
     async def test_claim_is_kept_for_its_retention_and_not_for_ever(self) -> None:
-        # A claim that is forgotten early lets a late repeat run; one that stays fills the memory.
+        # A claim that is dropped too early lets a late repeat run; one that is never dropped leaks
+        # memory.
         take = TakeClaim("ana", "old", "digest", "attempt", self.first.session, 100_000)
         await self.office.finish(self.first.client.ask(take, 5000))
         claims = self.office.control.state.claims
@@ -99,8 +100,8 @@
         self.assertNotIn(("ana", "old"), claims)
 
     async def test_no_claim_no_run(self) -> None:
-        # The controllers are out of reach. The caller is told at once that nothing ran and when
-        # to come back, and then the same request runs.
+        # The controllers can't be reached. The caller learns at once that nothing ran and when to
+        # retry; later the same request runs.
         self.first.client.cut = True
         refusal = await self._refused(self.first)
         self.assertEqual(refusal.code, "claim_unavailable")
@@ -113,8 +114,8 @@
         self.assertEqual(self._runs(), 1)
 
     async def test_claim_whose_answer_was_lost_is_released(self) -> None:
-        # The claim is committed but its answer never arrives: nothing ran. The caller is told so,
-        # and once the line works again its repeat runs, and only that.
+        # The claim is committed, but the answer never arrives, so the gateway runs nothing. The
+        # caller learns this, and once the connection works again its repeat runs once.
         self.first.client.lose_answers = True
         refusal = await self._refused(self.first)
         self.assertIs(refusal.executed, Executed.NO)
--- a/chestnutfall/tests/test_request_faults.py
+++ b/chestnutfall/tests/test_request_faults.py
@@ -1,8 +1,9 @@
-"""What a caller sees when an engine fails at each step of a request.
+"""Answers to callers when an engine fails at each step of a request.
 
-A caller gets another's answer, a short one that looks whole, an answer of the wrong version, or a
-second run of an estimate. The engine, or the line to it, does one thing wrong; the gateway checks,
-resumes, repeats elsewhere if that can't run it twice, or says truthfully what it knows.
+Guards against four failures: an answer that belongs to another caller, a short answer that looks
+whole, an answer of the wrong adapter version, and a second run of a non-idempotent request. The
+engine or its connection has one fault at a time. The gateway checks the answer and resumes it,
+repeats the request on another engine if it can't run twice that way, or reports what it knows.
 """
 
 from __future__ import annotations
@@ -72,7 +73,7 @@
                     self._fault_everywhere(fault, 0)
 
     async def test_event_of_another_answer_is_never_passed_on(self) -> None:
-        # Something between mixes two connections up in the middle of a stream.
+        # A proxy confuses two connections in the middle of a stream.
         self._fault_everywhere("mixed_up")
         seen: list[bytes] = []
 
@@ -120,8 +121,8 @@
         self.assertIs(refusal.executed, Executed.UNKNOWN)
 
     async def test_refused_repeat_does_not_hide_that_the_first_attempt_may_have_run(self) -> None:
-        # The first attempt breaks off after the engine took it; when it is to be repeated no
-        # engine takes work any more. Nothing ran of the second, but of the request it may have.
+        # The first attempt breaks off after the engine accepted it, and no engine accepts the
+        # repeat. The second attempt ran nothing, but the request may have run in the first.
         self._fault_everywhere("reset")
         answer = asyncio.ensure_future(self.entry.answer(self.entry.request("a1@1")))
         while not self._runs():
@@ -135,8 +136,8 @@
         self.assertIs(caught.exception.executed, Executed.UNKNOWN)
 
     async def test_stream_that_can_not_be_resumed_breaks_visibly(self) -> None:
-        # The engine restarts empty after some events: the rest of the answer is gone. What came
-        # must not look like the whole answer, and the request must not run again.
+        # The engine restarts empty after some events, so the rest of the answer is lost. The events
+        # sent so far must not look like a whole answer, and the request must not run again.
         for model in ("a1@1", "once@1"):
             req = self.entry.request(model)
             seen: list[bytes] = []
@@ -175,7 +176,7 @@
         self._assert_whole(await self.office.finish(self.entry.answer(req)), req.model)
 
     async def test_engine_that_restarts_empty_is_loaded_again(self) -> None:
-        # The adapter is gone with the engine's old process, and the owner still counts on it.
+        # The engine's old process held the adapter, and the owner still takes it as loaded.
         for pause_ms in (0, 300, 3000):
             with self.subTest(pause_ms=pause_ms):
                 for engine, _ in self.office.announced.values():
@@ -185,7 +186,8 @@
                 self._assert_whole(await self.office.finish(self.entry.answer(req)), req.model)
 
     async def test_gateway_without_a_session_dispatches_nothing(self) -> None:
-        # It was frozen between its ticket and the dispatch; the owner does not count on it now.
+        # The gateway was suspended between its ticket and the dispatch, so the owner dropped the
+        # ticket.
         self.entry.agent._lease_until_ms = 0
         self.entry.client.cut = True
         owner = self.office.other(self.entry)
--- a/properties/safeguards/caller_mutants.py
+++ b/properties/safeguards/caller_mutants.py
@@ -10,7 +10,7 @@
 _CHECKS = "chestnutfall/engine_edge/answer_gate.py"
 _AGENT = "chestnutfall/membership/site_agent.py"
 _UPSTREAM = "chestnutfall/membership/upstream.py"
-_CLAIMS = "chestnutfall/routing/claim_desk.py"
+_CLAIMS = "chestnutfall/routing/claim_client.py"
 _FAULTS_TEST = "chestnutfall.tests.test_request_faults"
 _OWNERSHIP_TEST = "chestnutfall.tests.test_ownership"
 _CONFIG_TEST = "chestnutfall.tests.test_configuration_in_force"
@@ -162,7 +162,7 @@
     Mutant(
         "claim not released when its answer was lost",
         _CLAIMS,
-        "            self.end(wanted, None)",
+        "            self.end(req, None)",
         "            pass",
         _ONCE_TEST,
     ),
@@ -211,7 +211,7 @@
     Mutant(
         "refused repeat hides a broken attempt",
         _DISPATCHER,
-        "                raise _as_executed(refusal, executed) from refusal",
+        "                raise _with_executed(refusal, executed) from refusal",
         "                raise",
         _FAULTS_TEST,
     ),
