--- a/chestnutfall/forwarding/result_handler.py
+++ b/chestnutfall/forwarding/result_handler.py
@@ -71,7 +71,7 @@
         """
         match result:
             case Delivered():
-                self._quarantine.answered(progress.fingerprint)
+                self._quarantine.note_answered(progress.fingerprint)
                 self._metrics.observe("answer_ms", self._clock.now_ms() - progress.call.arrived_ms)
                 return True
             case HeldBack():
@@ -136,7 +136,9 @@
         progress.runs += 1
         upstream = place.upstream
         progress.avoid.append(upstream.instance)
-        self._quarantine.broke(progress.fingerprint, upstream.instance, upstream.address, sent_ms)
+        self._quarantine.note_broken(
+            progress.fingerprint, upstream.instance, upstream.address, sent_ms
+        )
         # A non-idempotent call is never repeated once bytes may have reached the upstream: it may
         # have run, and a second run would give the client two results.
         if self._may_run_again(progress, route) and await self._take_repeat(
@@ -157,7 +159,7 @@
     ) -> bool:
         progress.runs += 1
         progress.avoid.append(place.upstream.instance)
-        self._quarantine.answered(progress.fingerprint)
+        self._quarantine.note_answered(progress.fingerprint)
         if (
             failed.status >= 500
             and self._may_run_again(progress, route)
--- a/chestnutfall/plain_edge/plain_proxy.py
+++ b/chestnutfall/plain_edge/plain_proxy.py
@@ -133,7 +133,7 @@
             began_ms = self._clock.now_ms()
             try:
                 answer = await self._call(request, upstream, service, body)
-                self._quarantine.answered(fingerprint)
+                self._quarantine.note_answered(fingerprint)
                 last = answer.response
                 if not answer.turned_away or (once and not answer.not_run):
                     break
@@ -143,7 +143,9 @@
             except (aiohttp.ClientError, TimeoutError, OSError) as exc:
                 message = f"{upstream.name} broke off: {exc!r}"
                 executed, broke = Executed.UNKNOWN, True
-                self._quarantine.broke(fingerprint, upstream.instance, upstream.address, began_ms)
+                self._quarantine.note_broken(
+                    fingerprint, upstream.instance, upstream.address, began_ms
+                )
                 if once:
                     break
             self._metrics.count("plain.retries")
--- a/chestnutfall/platform/gateway.py
+++ b/chestnutfall/platform/gateway.py
@@ -58,7 +58,7 @@
     known = FleetKnowledge(DocumentJson(), clock)
     fleet = FleetClient(name, settings.controllers, known, clock)
     quarantine = RequestQuarantine(fleet.report, refuses_connections, clock)
-    fleet.on_suspects = quarantine.take
+    fleet.on_suspects = quarantine.update
     api = UpstreamHttp(UnreadHeaders(names.ANSWERED, metrics.count))
     rng = random.Random()
     quotas = QuotaEnforcer(
--- a/chestnutfall/programs/gateway.py
+++ b/chestnutfall/programs/gateway.py
@@ -25,7 +25,7 @@
 from ..peers import PeerLinks, PeerServer
 from ..peers.peer_server import METHOD as TICKETS_METHOD
 from ..plain_edge import PlainProxy
-from ..quarantine import ReportLine, RequestQuarantine, refuses_connections
+from ..quarantine import ReportSender, RequestQuarantine, refuses_connections
 from ..quota.quota_enforcer import QuotaEnforcer
 from ..routing import ClaimClient, Dispatcher
 from ..settings.gateway_settings import GatewaySettings
@@ -93,10 +93,10 @@
         self._peer_server = PeerServer(self._desk, self._clock)
         self._links = PeerLinks(self._agent, self._desk, self._clock, tls)
         self._claims = ClaimClient(self._client, session)
-        reports = ReportLine(self._client)
-        quarantine = RequestQuarantine(reports.tell, refuses_connections, self._clock)
-        self._agent.on_suspects = quarantine.take
-        self._registry.on_replaced = quarantine.replaced
+        reports = ReportSender(self._client)
+        quarantine = RequestQuarantine(reports.send, refuses_connections, self._clock)
+        self._agent.on_suspects = quarantine.update
+        self._registry.on_replaced = quarantine.note_replaced
         limits = KnownLimits(self._tell_limit, self._gateways, self._clock, random.Random(), WHOLE)
         backoffs = KnownBackoffs(self._tell_backoff, self._clock)
         signals = KnownSignals(limits, backoffs, self._clock)
--- a/chestnutfall/quarantine/__init__.py
+++ b/chestnutfall/quarantine/__init__.py
@@ -1,9 +1,9 @@
-"""What a gateway does about requests that end the upstreams that run them."""
+"""A gateway's part in the quarantine of requests that end the upstreams that run them."""
 
 from __future__ import annotations
 
 from .port_check import refuses_connections
-from .report_line import ReportLine
+from .report_sender import ReportSender
 from .request_quarantine import RequestQuarantine
 
-__all__ = ["ReportLine", "RequestQuarantine", "refuses_connections"]
+__all__ = ["ReportSender", "RequestQuarantine", "refuses_connections"]
--- a/chestnutfall/quarantine/request_quarantine.py
+++ b/chestnutfall/quarantine/request_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that this gateway does not send, and what it tells of those that broke off."""
+"""Refusal of quarantined requests, and reports on answers that break off."""
 
 from __future__ import annotations
 
@@ -20,14 +20,28 @@
 log = logging.getLogger(__name__)
 REASON = "ended_its_upstreams"
 REMEMBERED_MS = 5_000
-"""A process is started again within this time; later the end may have had another reason."""
-MOST_REMEMBERED = 1_024
-"""Answers that break off within that time; what one upstream runs, several times over."""
+"""How long after a broken answer a new process at the address shows that the old one ended with it.
+A process is restarted within this time; a later restart may have another cause."""
+MAX_REMEMBERED = 1_024
+"""Limit on the remembered broken answers; several times the requests that one upstream runs at
+once."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Broken:
-    """An answer that broke off."""
+class _BrokenAnswer:
+    """An answer that broke off.
+
+    Attributes
+    ----------
+    fingerprint : str
+        Digest of the request's caller, path and body.
+    instance : str
+        Incarnation of the upstream that ran the request.
+    address : str
+        Address of that upstream.
+    began_ms, broke_ms : int
+        Clock times at which the request was sent and its answer broke off.
+    """
 
     fingerprint: str
     instance: str
@@ -35,63 +49,68 @@
     began_ms: int
     broke_ms: int
 
-    def is_other(self, address: str, instance: str) -> bool:
-        """Whether it is of another instance at the same address."""
+    def is_replaced_by(self, address: str, instance: str) -> bool:
+        """Whether `instance` at `address` has replaced the upstream of this answer."""
         return self.address == address and self.instance != instance
 
 
 class RequestQuarantine:
-    """Keeps one request from ending upstream after upstream.
+    """Prevents a single request from ending one upstream after another.
 
-    Its caller sends it again through any gateway, under a new id, and each gateway took it for
-    new. Symptom: all callers of a service are refused, since a single request has ended most of
-    its engines. Every gateway therefore knows the few requests that the controllers hold to
-    blame, by caller, path and body, and refuses them before anything runs.
+    A caller retries such a request through any gateway under a new id, so each gateway takes it for
+    a new request. Without the quarantine, one request ends most engines of a service, and all
+    callers of the service are refused. Therefore every gateway knows the few requests that the
+    controllers have quarantined, by caller, path and body, and refuses them before anything runs.
 
     Parameters
     ----------
-    tell : callable
-        Brings a report to the leader, now or when there is one.
+    send_report : callable
+        Delivers a report to the leader, now or once there is one.
     refuses_connections : callable
         Whether the process at an address has ended.
     """
 
     def __init__(
         self,
-        tell: Callable[[CrashReport], None],
+        send_report: Callable[[CrashReport], None],
         refuses_connections: Callable[[str], Awaitable[bool]],
         clock: Clock,
     ) -> None:
         self._clock = clock
-        self._tell = tell
+        self._send_report = send_report
         self._refuses_connections = refuses_connections
-        self._to_tell: set[str] = set()
+        self._unreported: set[str] = set()
         self._retry_ms: dict[str, int] = {}
         self._checks: dict[str, asyncio.Task[bool]] = {}
         self._reports: set[asyncio.Task[None]] = set()
-        self._asking: set[_Broken] = set()
-        self._still_open: deque[_Broken] = deque(maxlen=MOST_REMEMBERED)
+        self._being_checked: set[_BrokenAnswer] = set()
+        self._still_open: deque[_BrokenAnswer] = deque(maxlen=MAX_REMEMBERED)
 
-    def take(self, suspects: SuspectRequests) -> None:
-        """Take the controllers' word."""
+    def update(self, suspects: SuspectRequests) -> None:
+        """Replace the watched and quarantined requests by those received from the controllers."""
         known = self._retry_ms
         self._retry_ms = {one.fingerprint: one.retry_ms for one in suspects.quarantined}
-        self._to_tell = {*suspects.watched, *self._retry_ms}
+        self._unreported = {*suspects.watched, *self._retry_ms}
         for fingerprint in self._retry_ms.keys() ^ known.keys():
-            word = "holds" if fingerprint in self._retry_ms else "ended for"
-            log.info("quarantine: %s content=%s", word, fingerprint)
+            change = "holds" if fingerprint in self._retry_ms else "ended for"
+            log.info("quarantine: %s content=%s", change, fingerprint)
 
     def retry_ms(self, fingerprint: str) -> int | None:
-        """When to come back with a request that must not be sent; None if it may be sent."""
+        """Return the retry time of a quarantined request, in ms; None if it may be sent."""
         return self._retry_ms.get(fingerprint)
 
     def check(self, fingerprint: str, executed: Executed = Executed.NO) -> None:
-        """Refuse a request that must not be sent, or sent again.
+        """Refuse a quarantined request; called before each send.
+
+        Parameters
+        ----------
+        executed : Executed
+            Whether previous sends may have run the request.
 
         Raises
         ------
         Refusal
-            With what is known of the sends before.
+            With `executed` and the retry time.
         """
         retry_ms = self.retry_ms(fingerprint)
         if retry_ms is None:
@@ -100,47 +119,55 @@
         status = 503 if executed is Executed.NO else 502
         raise Refusal(status, REASON, message, executed, retry_ms)
 
-    def broke(self, fingerprint: str, instance: str, address: str, began_ms: int) -> None:
-        """Note that an answer broke off; whether the upstream ended is found out beside."""
-        broken = _Broken(fingerprint, instance, address, began_ms, self._clock.now_ms())
-        task = asyncio.ensure_future(self._report(broken))
+    def note_broken(self, fingerprint: str, instance: str, address: str, began_ms: int) -> None:
+        """Report in the background that an answer broke off, and whether its upstream has ended.
+
+        Parameters
+        ----------
+        began_ms : int
+            Clock time at which the request was sent.
+        """
+        broken = _BrokenAnswer(fingerprint, instance, address, began_ms, self._clock.now_ms())
+        task = asyncio.ensure_future(self._check_and_report(broken))
         self._reports.add(task)
         task.add_done_callback(self._reports.discard)
 
-    def answered(self, fingerprint: str) -> None:
-        """Note that an upstream gave a whole answer, if that was not told yet."""
-        if fingerprint in self._to_tell:
-            self._to_tell.discard(fingerprint)
-            self._tell(AnsweredRun(fingerprint))
+    def note_answered(self, fingerprint: str) -> None:
+        """Report a whole answer to a watched or quarantined request, once after each `update`."""
+        if fingerprint in self._unreported:
+            self._unreported.discard(fingerprint)
+            self._send_report(AnsweredRun(fingerprint))
 
-    def replaced(self, address: str, instance: str) -> None:
-        """Take that `instance` listens at `address` now, so that another one has ended.
+    def note_replaced(self, address: str, instance: str) -> None:
+        """Record that `instance` now listens at `address`, so that its predecessor has ended.
 
-        A process that is started again at once has its port open before a busy gateway asks.
+        A process that restarts at once has its port open before a busy gateway checks it.
         """
-        self._asking -= {one for one in self._asking if one.is_other(address, instance)}
+        self._being_checked -= {
+            one for one in self._being_checked if one.is_replaced_by(address, instance)
+        }
         oldest_ms = self._clock.now_ms() - REMEMBERED_MS
         remembered = [one for one in self._still_open if one.broke_ms >= oldest_ms]
         self._still_open.clear()
         for one in remembered:
-            if one.is_other(address, instance):
-                self._tell_ended(one, ended=True)
+            if one.is_replaced_by(address, instance):
+                self._report_broken(one, ended=True)
             else:
                 self._still_open.append(one)
 
-    async def _report(self, broken: _Broken) -> None:
-        self._asking.add(broken)
+    async def _check_and_report(self, broken: _BrokenAnswer) -> None:
+        self._being_checked.add(broken)
         refuses = await self._has_ended(broken.address)
-        ended = refuses or broken not in self._asking
-        self._asking.discard(broken)
+        ended = refuses or broken not in self._being_checked
+        self._being_checked.discard(broken)
         if not ended:
             self._still_open.append(broken)
-        self._tell_ended(broken, ended)
+        self._report_broken(broken, ended)
 
-    def _tell_ended(self, broken: _Broken, ended: bool) -> None:
+    def _report_broken(self, broken: _BrokenAnswer, ended: bool) -> None:
         now_ms = self._clock.now_ms()
         began_ago_ms, broke_ago_ms = now_ms - broken.began_ms, now_ms - broken.broke_ms
-        self._tell(
+        self._send_report(
             BrokenRun(
                 broken.fingerprint,
                 broken.instance,
@@ -152,7 +179,7 @@
         )
 
     async def _has_ended(self, address: str) -> bool:
-        """Ask the port once for all answers that break off together."""
+        """Check the port; answers that break off together share one check."""
         check = self._checks.get(address)
         if check is None:
             check = asyncio.ensure_future(self._refuses_connections(address))
--- a/chestnutfall/routing/dispatcher.py
+++ b/chestnutfall/routing/dispatcher.py
@@ -88,7 +88,7 @@
                 async for events in self._attempt(req, attempt_id, fingerprint):
                     started = True
                     yield events
-                self._quarantine.answered(fingerprint)
+                self._quarantine.note_answered(fingerprint)
                 return
             except Refusal as refusal:
                 # A refused ticket for a repeat proves nothing about the previous attempt.
@@ -155,7 +155,7 @@
                 instance,
                 exc.code,
             )
-            self._quarantine.broke(fingerprint, instance, engine.address, began_ms)
+            self._quarantine.note_broken(fingerprint, instance, engine.address, began_ms)
             raise
         finally:
             span.end()
--- a/chestnutfall/tests/fakes/fake_office.py
+++ b/chestnutfall/tests/fakes/fake_office.py
@@ -18,7 +18,7 @@
 from ...observability.metrics import Metrics
 from ...ownership import EngineOwners
 from ...ownership.load_permits import ControllerPermits
-from ...quarantine import ReportLine, RequestQuarantine
+from ...quarantine import ReportSender, RequestQuarantine
 from ...requests import CallerRequest, digest_of
 from ...routing import ClaimClient, ClaimRequest, Dispatcher
 from ...signals.known_backoffs import KnownBackoffs
@@ -59,12 +59,12 @@
         )
         self.links = FakeLinks(self.agent, self.desk, self.clock, lambda: office.by_session())
         self.claims = ClaimClient(self.client, self.session)
-        reports = ReportLine(self.client)
+        reports = ReportSender(self.client)
         self.quarantine = RequestQuarantine(
-            reports.tell, office.engines.refuses_connections, self.clock
+            reports.send, office.engines.refuses_connections, self.clock
         )
-        self.agent.on_suspects = self.quarantine.take
-        self.registry.on_replaced = self.quarantine.replaced
+        self.agent.on_suspects = self.quarantine.update
+        self.registry.on_replaced = self.quarantine.note_replaced
         limits = KnownLimits(
             lambda heard: self.links.hear_limit(heard.instance.partition("/")[0], heard),
             lambda: len(self.agent.gateways),
--- a/chestnutfall/tests/test_forwarder.py
+++ b/chestnutfall/tests/test_forwarder.py
@@ -49,7 +49,7 @@
     def _quarantine_call(self) -> None:
         fingerprint = fingerprint_of("a.example", "POST /a/x", b"")
         quarantined = (QuarantinedRequest(fingerprint, 60_000),)
-        self.quarantine.take(SuspectRequests(1, (), quarantined))
+        self.quarantine.update(SuspectRequests(1, (), quarantined))
 
     async def test_a_quarantined_call_is_refused_at_once_and_not_run(self) -> None:
         self._quarantine_call()
@@ -76,7 +76,7 @@
 
     async def test_answers_that_break_off_are_reported_and_whole_ones_if_watched(self) -> None:
         fingerprint = fingerprint_of("a.example", "POST /a/x", b"")
-        self.quarantine.take(SuspectRequests(1, (fingerprint,), ()))
+        self.quarantine.update(SuspectRequests(1, (fingerprint,), ()))
         await self._serve(RouteKind.IDEMPOTENT, (AnswerLost, (b"answer",)))
         await self.clock.advance(1)
         broken, answered = sorted(self.reports, key=lambda one: type(one).__name__, reverse=True)
--- a/chestnutfall/tests/test_plain_proxy.py
+++ b/chestnutfall/tests/test_plain_proxy.py
@@ -121,7 +121,7 @@
 
     def _hold(self) -> None:
         held = QuarantinedRequest(fingerprint_of("ana", "PUT /counter/x", FATAL), 60_000)
-        self.quarantine.take(SuspectRequests(1, (), (held,)))
+        self.quarantine.update(SuspectRequests(1, (), (held,)))
 
     async def test_broken_calls_are_reported_with_their_upstream(self) -> None:
         refusal = await self._refused()
@@ -145,7 +145,7 @@
 
     async def test_an_answer_to_a_watched_call_is_told(self) -> None:
         watched = fingerprint_of("ana", "PUT /counter/x", b"usual")
-        self.quarantine.take(SuspectRequests(1, (watched,), ()))
+        self.quarantine.update(SuspectRequests(1, (watched,), ()))
         await self._answer(b"usual")
         self.assertEqual(self.reports, [AnsweredRun(watched)])
 
--- a/chestnutfall/tests/test_request_quarantine.py
+++ b/chestnutfall/tests/test_request_quarantine.py
@@ -1,8 +1,8 @@
-"""What a gateway tells of broken answers, and what it tells callers of quarantined requests.
+"""A gateway's reports on broken answers, and its refusals of quarantined requests.
 
-When an engine ends, dozens of answers break off at one gateway at once; each of them asking the
-port would be a rush of connections on a host that has just come back. A caller who is refused
-must know whether the request ran, and when it is worth coming back.
+When an engine ends, dozens of answers break off at one gateway at once. If each of them caused a
+port check, the checks would flood a host that has just come back. A refused caller must learn
+whether its request ran, and when to retry.
 """
 
 from __future__ import annotations
@@ -37,55 +37,55 @@
 
     async def test_answers_that_break_off_together_ask_the_port_once(self) -> None:
         for number in range(40):
-            self.quarantine.broke(f"r{number}", "i1", "127.0.0.1:1", -70)
-        self.quarantine.broke("r40", "i2", "127.0.0.1:2", -70)
+            self.quarantine.note_broken(f"r{number}", "i1", "127.0.0.1:1", -70)
+        self.quarantine.note_broken("r40", "i2", "127.0.0.1:2", -70)
         await self.clock.advance(10)
         self.assertEqual(sorted(self.asked), ["127.0.0.1:1", "127.0.0.1:2"])
         self.assertEqual(len(self.reports), 41)
         self.assertIn(BrokenRun("r0", "i1", "127.0.0.1:1", True, 80, 10), self.reports)
         self.assertIn(BrokenRun("r40", "i2", "127.0.0.1:2", False, 80, 10), self.reports)
 
-    # Guards against an end that nobody counts: the process was back before its port was asked.
+    # Guards against an end that is not counted: the process was back before its port was checked.
     async def test_an_upstream_that_is_back_under_another_life_has_ended(self) -> None:
-        self.quarantine.broke("r", "i/first", "127.0.0.1:2", -70)
+        self.quarantine.note_broken("r", "i/first", "127.0.0.1:2", -70)
         await self.clock.advance(10)
         self.assertEqual(self.reports, [BrokenRun("r", "i/first", "127.0.0.1:2", False, 80, 10)])
         await self.clock.advance(500)
-        self.quarantine.replaced("127.0.0.1:2", "i/second")
+        self.quarantine.note_replaced("127.0.0.1:2", "i/second")
         self.assertEqual(
             self.reports[1:], [BrokenRun("r", "i/first", "127.0.0.1:2", True, 580, 510)]
         )
-        self.quarantine.replaced("127.0.0.1:2", "i/third")
+        self.quarantine.note_replaced("127.0.0.1:2", "i/third")
         self.assertEqual(len(self.reports), 2)
 
     async def test_an_upstream_that_is_back_while_its_port_is_asked_has_ended(self) -> None:
-        self.quarantine.broke("r", "i/first", "127.0.0.1:2", -70)
+        self.quarantine.note_broken("r", "i/first", "127.0.0.1:2", -70)
         await self.clock.settle()
-        self.quarantine.replaced("127.0.0.1:2", "i/second")
+        self.quarantine.note_replaced("127.0.0.1:2", "i/second")
         await self.clock.advance(10)
         self.assertEqual(self.reports, [BrokenRun("r", "i/first", "127.0.0.1:2", True, 80, 10)])
 
     async def test_a_life_that_begins_long_after_a_broken_answer_proves_nothing(self) -> None:
-        self.quarantine.broke("r", "i/first", "127.0.0.1:2", 0)
+        self.quarantine.note_broken("r", "i/first", "127.0.0.1:2", 0)
         await self.clock.advance(REMEMBERED_MS + 20)
-        self.quarantine.replaced("127.0.0.1:2", "i/second")
+        self.quarantine.note_replaced("127.0.0.1:2", "i/second")
         self.assertEqual(len(self.reports), 1)
 
     async def test_the_port_is_asked_again_for_a_later_break(self) -> None:
         for _ in range(2):
-            self.quarantine.broke("r", "i1", "127.0.0.1:1", 0)
+            self.quarantine.note_broken("r", "i1", "127.0.0.1:1", 0)
             await self.clock.advance(10)
         self.assertEqual(len(self.asked), 2)
 
     def test_only_answers_to_watched_requests_are_told_and_once(self) -> None:
         held = QuarantinedRequest("held", 60_000)
-        self.quarantine.take(SuspectRequests(4, ("watched",), (held,)))
+        self.quarantine.update(SuspectRequests(4, ("watched",), (held,)))
         for fingerprint in ("usual", "watched", "watched", "held"):
-            self.quarantine.answered(fingerprint)
+            self.quarantine.note_answered(fingerprint)
         self.assertEqual(self.reports, [AnsweredRun("watched"), AnsweredRun("held")])
 
     def test_refusals_say_what_is_known(self) -> None:
-        self.quarantine.take(SuspectRequests(4, (), (QuarantinedRequest("held", 60_000),)))
+        self.quarantine.update(SuspectRequests(4, (), (QuarantinedRequest("held", 60_000),)))
         self.quarantine.check("usual")
         for executed, status in ((Executed.NO, 503), (Executed.UNKNOWN, 502)):
             with self.subTest(executed), self.assertRaises(Refusal) as caught:
@@ -93,7 +93,7 @@
             self.assertEqual(caught.exception.status, status)
             self.assertIs(caught.exception.executed, executed)
             self.assertEqual(caught.exception.retry_after_ms, 60_000)
-        self.quarantine.take(SuspectRequests(5, (), ()))
+        self.quarantine.update(SuspectRequests(5, (), ()))
         self.quarantine.check("held")
 
     def test_one_caller_s_request_says_nothing_of_another_s(self) -> None:
@@ -104,7 +104,7 @@
             for body in (b"roof", b"tiles")
         }
         self.assertEqual(len(asked), 8)
-        # A path that is no text reaches us with its odd bytes escaped.
+        # Invalid UTF-8 in a path arrives as escaped surrogates.
         self.assertEqual(len(fingerprint_of("ana", "GET /\udcff", b"")), 32)
 
 
