--- a/chestnutfall/forwarding/fleet_client.py
+++ b/chestnutfall/forwarding/fleet_client.py
@@ -35,6 +35,7 @@
 
 log = logging.getLogger(__name__)
 STREAM_TIMEOUT_MS = 3 * PULSE_MS
+"""A stream without any message for three pulses counts as dead."""
 ISOLATED_MS = 1_500
 """Time without any controller's message after which the gateway counts as isolated; enough to ask
 each of five controllers twice."""
--- a/chestnutfall/forwarding/plain_selector.py
+++ b/chestnutfall/forwarding/plain_selector.py
@@ -27,32 +27,32 @@
 a last resort."""
 LOAD_FRESH_MS = 250
 """How long a reported load counts; it is outdated after about ten short requests."""
-MAX_WEIGHED = 24
+MAX_COMPARED = 24
 """Upstreams compared for one call. The best of a random sample of this size is nearly as good as
 the best of all, and the time per call stays the same for a thousand upstreams as for a few."""
 
 
 @dataclass(slots=True)
-class _Known:
+class _UpstreamState:
     """State of one upstream on this gateway.
 
     Attributes
     ----------
-    own : int
+    own_requests : int
         Requests of this gateway in progress there.
-    others : float
+    other_requests : float
         Requests of other gateways there, by the last reported load.
-    places : int
+    slots : int
         Requests that it runs at once, as it last reported.
-    loads_heard_ms : int
+    load_reported_ms : int
         Clock time of the last reported load.
     """
 
     health: UpstreamHealth = field(default_factory=UpstreamHealth)
-    own: int = 0
-    others: float = 0.0
-    places: int = 1
-    loads_heard_ms: int = -LOAD_FRESH_MS
+    own_requests: int = 0
+    other_requests: float = 0.0
+    slots: int = 1
+    load_reported_ms: int = -LOAD_FRESH_MS
 
 
 class PlainSelector(UpstreamSelector):
@@ -76,20 +76,20 @@
         self._clock = clock
         self._data_centre = data_centre
         self._rng = rng
-        self._known: dict[str, _Known] = {}
+        self._states: dict[str, _UpstreamState] = {}
         self._numbers = itertools.count()
 
     async def select(self, criteria: SelectionCriteria) -> Place:
-        upstreams = self._weighed(self._accepting(criteria.service.name))
+        upstreams = self._sampled(self._accepting(criteria.service.name))
         by_cost = sorted(upstreams, key=lambda one: self._cost_ms(one, criteria.avoid))
         chosen = by_cost[0]
         if self._signals.limits.per_s(chosen.instance) is not None:
             can_take = [one for one in by_cost if self._can_take(one, criteria.avoid)]
             chosen = await self._turns.choose(criteria, can_take or by_cost, self._upstreams)
-        known = self._of(chosen)
-        if known.health.is_ejected(self._clock.now_ms()) and chosen.instance in criteria.avoid:
+        state = self._state_of(chosen)
+        if state.health.is_ejected(self._clock.now_ms()) and chosen.instance in criteria.avoid:
             raise NoPlace("unreachable", NO_UPSTREAM_RETRY_MS)
-        known.own += 1
+        state.own_requests += 1
         has_other = any(
             self._can_take(one, criteria.avoid) for one in upstreams if one is not chosen
         )
@@ -115,50 +115,50 @@
     def held_back_ms(self, service: str) -> float:
         return self._signals.held_back_ms(one.instance for one in self._upstreams(service))
 
-    def _weighed(self, upstreams: Sequence[UpstreamRecord]) -> Sequence[UpstreamRecord]:
-        if len(upstreams) <= MAX_WEIGHED:
+    def _sampled(self, upstreams: Sequence[UpstreamRecord]) -> Sequence[UpstreamRecord]:
+        if len(upstreams) <= MAX_COMPARED:
             return upstreams
-        return self._rng.sample(upstreams, MAX_WEIGHED)
+        return self._rng.sample(upstreams, MAX_COMPARED)
 
     def _can_take(self, upstream: UpstreamRecord, avoid: tuple[str, ...]) -> bool:
         if self._signals.backoffs.probably_rejects(upstream.instance):
             return False
-        shunned = self._of(upstream).health.is_ejected(self._clock.now_ms())
+        shunned = self._state_of(upstream).health.is_ejected(self._clock.now_ms())
         return not shunned and upstream.instance not in avoid
 
     def release(
         self, place: Place, outcome: RunOutcome, times: RunTimes, load: UpstreamLoad | None
     ) -> None:
-        known = self._of(place.upstream)
-        known.own -= 1
+        state = self._state_of(place.upstream)
+        state.own_requests -= 1
         now_ms = self._clock.now_ms()
-        known.health.note(outcome, now_ms)
+        state.health.note(outcome, now_ms)
         if outcome is RunOutcome.DONE:
-            known.health.note_lag(times.lag_ms, now_ms)
+            state.health.note_lag(times.lag_ms, now_ms)
         if load is not None:
-            known.others = max(load.running + load.waiting - known.own - 1, 0)
-            known.places = max(load.places, 1)
-            known.loads_heard_ms = now_ms
+            state.other_requests = max(load.running + load.waiting - state.own_requests - 1, 0)
+            state.slots = max(load.places, 1)
+            state.load_reported_ms = now_ms
 
-    def _of(self, upstream: UpstreamRecord) -> _Known:
-        if upstream.instance not in self._known:
+    def _state_of(self, upstream: UpstreamRecord) -> _UpstreamState:
+        if upstream.instance not in self._states:
             self._forget_absent(upstream.service)
-            self._known[upstream.instance] = _Known()
-        return self._known[upstream.instance]
+            self._states[upstream.instance] = _UpstreamState()
+        return self._states[upstream.instance]
 
     def _forget_absent(self, service: str) -> None:
         present = {one.instance for one in self._upstreams(service)}
-        for instance, known in list(self._known.items()):
-            if instance not in present and not known.own and len(self._known) > 64:
-                del self._known[instance]
+        for instance, state in list(self._states.items()):
+            if instance not in present and not state.own_requests and len(self._states) > 64:
+                del self._states[instance]
 
     def _cost_ms(self, upstream: UpstreamRecord, avoid: tuple[str, ...]) -> float:
-        known = self._of(upstream)
+        state = self._state_of(upstream)
         now_ms = self._clock.now_ms()
-        busy = float(known.own)
-        if now_ms - known.loads_heard_ms < LOAD_FRESH_MS:
-            busy += known.others
-        cost_ms = BUSY_COST_MS * busy / known.places + known.health.cost_ms(now_ms)
+        busy = float(state.own_requests)
+        if now_ms - state.load_reported_ms < LOAD_FRESH_MS:
+            busy += state.other_requests
+        cost_ms = BUSY_COST_MS * busy / state.slots + state.health.cost_ms(now_ms)
         if upstream.data_centre != self._data_centre:
             cost_ms += OTHER_DATA_CENTRE_MS
         if not self._can_take(upstream, avoid):
--- a/chestnutfall/tests/test_last_check.py
+++ b/chestnutfall/tests/test_last_check.py
@@ -101,7 +101,7 @@
                 await self._serve(RouteKind.IDEMPOTENT, (AnswerLost, refusal))
                 self.assertEqual(self.reply.status, 502)
 
-    async def test_a_call_that_one_turns_away_goes_on(self) -> None:
+    async def test_a_call_that_one_upstream_turns_away_goes_to_another(self) -> None:
         self.has_other = False  # judging by the loads
         upstreams = await self._serve(
             RouteKind.NON_IDEMPOTENT, (answer_with_signals(ASKS_BACKOFF), WHOLE)
@@ -124,7 +124,7 @@
         self.assertEqual(self.repeats.unsent("s"), 1)
 
     # Guards against signals of another process at the same address.
-    async def test_what_another_incarnation_says_is_not_taken_for_its_own(self) -> None:
+    async def test_signals_of_another_incarnation_are_ignored(self) -> None:
         said = UpstreamSignals(backoff=AskedBackoff(9_000), leaving=True)
         replaced = answer_with_signals(said)
         object.__setattr__(replaced, "not_run", NotRun.REPLACED)
@@ -132,7 +132,7 @@
         self.assertTrue(self.signals.may_send("i0"))
         self.assertEqual(self.selector.outcomes[0], RunOutcome.REPLACED)
 
-    async def test_a_success_says_as_much_as_a_refusal(self) -> None:
+    async def test_signals_of_a_success_count_like_those_of_a_refusal(self) -> None:
         answer = answer_with_signals(LEAVING, 200)
         await self._serve(RouteKind.IDEMPOTENT, (answer,))
         self.assertEqual((self.reply.status, self.reply.body), (200, b"said"))
--- a/chestnutfall/tests/test_organisations.py
+++ b/chestnutfall/tests/test_organisations.py
@@ -119,7 +119,7 @@
             headers.add("X-Api-Key", key)
         return read_call(make_mocked_request("GET", "/a/x", headers=headers), b"", 0)
 
-    def test_the_key_and_the_claimed_name_end_here(self) -> None:
+    def test_the_key_and_the_claimed_name_are_not_forwarded(self) -> None:
         call = self._read("key-of-permits")
         self.assertEqual(call.key_digest, key_digest("key-of-permits"))
         self.assertEqual([name for name, _ in call.headers], ["Host"])
@@ -135,7 +135,7 @@
                 self._read(*keys)
             self.assertNotIn("secret", str(caught.exception))
 
-    def test_upstreams_are_told_the_organisation_and_nothing_of_the_key(self) -> None:
+    def test_upstreams_get_the_organisation_and_not_the_key(self) -> None:
         upstream = UpstreamRecord("i1", "forms", "127.0.0.1:1", "dc")
         call = self._read("key-of-permits")
         sent = _headers(ForwardedCall(call, upstream, 0, 1, 500, None, False, 500, "permits"))
@@ -215,7 +215,7 @@
 
     # Guards against calls without any answer: a leader that loses its gateways does not answer
     # questions about quotas.
-    async def test_a_leader_that_gives_no_answer_holds_up_nobody_beyond_its_time(self) -> None:
+    async def test_a_leader_that_gives_no_answer_delays_no_call_beyond_its_deadline(self) -> None:
         self.quota_client.silent = True
         self.quotas.apply(QuotaNews(True, ("permits",)))
         self.within_ms = 4_000
@@ -247,7 +247,7 @@
         self.assertIn("organisation=permits version=3", self.written.getvalue())
         self.assertIn("organisation_permits_over_quota_total 1", self.metrics.text())
 
-    async def test_without_a_leader_and_a_share_nobody_says_that_the_quota_is_used_up(self) -> None:
+    async def test_without_a_leader_and_a_share_a_call_is_not_refused_as_over_quota(self) -> None:
         self.quota_client.has_leader = False
         await self._serve(_document(LIMITED), "key-of-permits")
         self.assertEqual(self.reply.status, 503)
--- a/chestnutfall/tests/test_request_quarantine.py
+++ b/chestnutfall/tests/test_request_quarantine.py
@@ -35,7 +35,7 @@
         await self.clock.sleep_ms(10)
         return address.endswith("1")
 
-    async def test_answers_that_break_off_together_ask_the_port_once(self) -> None:
+    async def test_answers_that_break_off_together_check_the_port_once(self) -> None:
         for number in range(40):
             self.quarantine.note_broken(f"r{number}", "i1", "127.0.0.1:1", -70)
         self.quarantine.note_broken("r40", "i2", "127.0.0.1:2", -70)
@@ -46,7 +46,7 @@
         self.assertIn(BrokenRun("r40", "i2", "127.0.0.1:2", False, 80, 10), self.reports)
 
     # Guards against an end that is not counted: the process was back before its port was checked.
-    async def test_an_upstream_that_is_back_under_another_life_has_ended(self) -> None:
+    async def test_an_upstream_that_is_back_as_another_incarnation_has_ended(self) -> None:
         self.quarantine.note_broken("r", "i/first", "127.0.0.1:2", -70)
         await self.clock.advance(10)
         self.assertEqual(self.reports, [BrokenRun("r", "i/first", "127.0.0.1:2", False, 80, 10)])
@@ -58,26 +58,28 @@
         self.quarantine.note_replaced("127.0.0.1:2", "i/third")
         self.assertEqual(len(self.reports), 2)
 
-    async def test_an_upstream_that_is_back_while_its_port_is_asked_has_ended(self) -> None:
+    async def test_an_upstream_that_is_back_while_its_port_is_checked_has_ended(self) -> None:
         self.quarantine.note_broken("r", "i/first", "127.0.0.1:2", -70)
         await self.clock.settle()
         self.quarantine.note_replaced("127.0.0.1:2", "i/second")
         await self.clock.advance(10)
         self.assertEqual(self.reports, [BrokenRun("r", "i/first", "127.0.0.1:2", True, 80, 10)])
 
-    async def test_a_life_that_begins_long_after_a_broken_answer_proves_nothing(self) -> None:
+    async def test_an_incarnation_that_begins_long_after_a_broken_answer_proves_nothing(
+        self,
+    ) -> None:
         self.quarantine.note_broken("r", "i/first", "127.0.0.1:2", 0)
         await self.clock.advance(REMEMBERED_MS + 20)
         self.quarantine.note_replaced("127.0.0.1:2", "i/second")
         self.assertEqual(len(self.reports), 1)
 
-    async def test_the_port_is_asked_again_for_a_later_break(self) -> None:
+    async def test_the_port_is_checked_again_for_a_later_break(self) -> None:
         for _ in range(2):
             self.quarantine.note_broken("r", "i1", "127.0.0.1:1", 0)
             await self.clock.advance(10)
         self.assertEqual(len(self.asked), 2)
 
-    def test_only_answers_to_watched_requests_are_told_and_once(self) -> None:
+    def test_only_answers_to_watched_requests_are_reported_and_once(self) -> None:
         held = QuarantinedRequest("held", 60_000)
         self.quarantine.update(SuspectRequests(4, ("watched",), (held,)))
         for fingerprint in ("usual", "watched", "watched", "held"):
--- a/chestnutfall/tests/test_selectors.py
+++ b/chestnutfall/tests/test_selectors.py
@@ -94,7 +94,7 @@
         self.assertEqual({one.upstream.instance for one in taken}, {"2"})
 
     # Guards against a call that tries one engine after another while all are backing off.
-    async def test_without_a_leader_an_engine_that_wants_nothing_is_not_chosen(self) -> None:
+    async def test_without_a_leader_an_engine_that_backs_off_is_not_selected(self) -> None:
         fleet = _Fleet(self.clock)
         fleet.hold(ReadyAdapter("1", NAME, 3), ReadyAdapter("2", NAME, 3))
         signals = known_signals(self.clock)
@@ -168,15 +168,15 @@
 
     async def test_a_load_that_others_made_counts(self) -> None:
         first = await self._take()
-        told = UpstreamLoad(running=5, waiting=3, places=6)
-        self.selector.release(first, RunOutcome.DONE, NO_TIMES, told)
+        reported = UpstreamLoad(running=5, waiting=3, places=6)
+        self.selector.release(first, RunOutcome.DONE, NO_TIMES, reported)
         self.assertNotEqual((await self._take()).upstream.instance, first.upstream.instance)
 
     async def test_an_upstream_that_fails_is_left_and_tried_again_later(self) -> None:
         failing = (await self._take()).upstream.instance
         for _ in range(4):
             place = Place("x", _upstream(failing), 0)
-            self.selector._of(place.upstream).own += 1
+            self.selector._state_of(place.upstream).own_requests += 1
             self.selector.release(place, RunOutcome.BROKEN, NO_TIMES, None)
         taken = {(await self._take()).upstream.instance for _ in range(5)}
         self.assertNotIn(failing, taken)
--- a/properties/safeguards/signal_mutants.py
+++ b/properties/safeguards/signal_mutants.py
@@ -44,7 +44,7 @@
         "            and self._signals.may_send(held.instance)\n",
         "",
         "chestnutfall.tests.test_selectors.EngineSelectorTest"
-        ".test_without_a_leader_an_engine_that_wants_nothing_is_not_chosen",
+        ".test_without_a_leader_an_engine_that_backs_off_is_not_selected",
     ),
     Mutant(
         "plain upstreams that want nothing are chosen",
@@ -110,7 +110,7 @@
         "chestnutfall/forwarding/sender.py",
         "        if answer.not_run is not NotRun.REPLACED:",
         "        if True:",
-        f"{_CHECK}.test_what_another_incarnation_says_is_not_taken_for_its_own",
+        f"{_CHECK}.test_signals_of_another_incarnation_are_ignored",
     ),
     Mutant(
         "upstreams that left are remembered for ever",
@@ -212,7 +212,7 @@
         "chestnutfall/forwarding/sender.py",
         "        return RunOutcome.TURNED_AWAY\n",
         "        return RunOutcome.FULL\n",
-        f"{_CHECK}.test_a_call_that_one_turns_away_goes_on",
+        f"{_CHECK}.test_a_call_that_one_upstream_turns_away_goes_to_another",
     ),
     Mutant(
         "a repeat that found no place is spent",
