--- a/benchmarks/acceptance.py
+++ b/benchmarks/acceptance.py
@@ -12,7 +12,7 @@
 
 from chestnutfall.clock import SystemClock
 from chestnutfall.config.layered_config import BASE_LAYER
-from chestnutfall.control.operator_desk import OperatorDesk
+from chestnutfall.control.operator_service import OperatorService
 
 from .slope import fit
 from .slopes import _state
@@ -25,12 +25,12 @@
 def _judge_ms(adapters: int) -> float:
     state = _state(adapters, SITES)
     replica: Any = SimpleNamespace()
-    desk = OperatorDesk(replica, state, replica, SystemClock(), "")
+    desk = OperatorService(replica, state, replica, SystemClock(), "")
     version = {"versions": {"9": "sha256:" + "ab" * 32}}
     patches = {BASE_LAYER: {"adapters": {"oficina-0-tarea-0": version}}}
     started = time.perf_counter()
     for _ in range(TIMES):
-        assert not list(desk._what_is_wrong(patches))
+        assert not list(desk._validation_errors(patches))
     return (time.perf_counter() - started) * 1000 / TIMES
 
 
--- a/benchmarks/dissemination.py
+++ b/benchmarks/dissemination.py
@@ -11,7 +11,7 @@
 import time
 from collections.abc import Iterator
 
-from chestnutfall.control.upstream_record import UpstreamRecord, incarnation
+from chestnutfall.control.upstream_record import UpstreamRecord, incarnation_key
 from chestnutfall.coordination.messages import FLEET_CODEC, UpstreamsChange
 from chestnutfall.coordination.upstream_views import UpstreamViews
 
@@ -28,7 +28,7 @@
 def _record(number: int) -> UpstreamRecord:
     name = f"i-{number * 2_654_435_761 % 2**32:08x}"
     address = f"10.{number % 6}.{number // 250 % 250}.{number % 250}:8642"
-    key = incarnation(name, STARTED_MS)
+    key = incarnation_key(name, STARTED_MS)
     return UpstreamRecord(key, f"service{number % 2}", address, "dc-1", False, name, STARTED_MS)
 
 
--- a/chestnutfall/control/__init__.py
+++ b/chestnutfall/control/__init__.py
@@ -1,5 +1,5 @@
-"""The replicated state of an office and the service that controllers offer.
+"""Replicated control-plane state, and the service through which controllers expose it.
 
-Nothing is imported here: a program loads only the modules that it names, since the libraries of
-the others would double the time that it takes to start.
+This package imports nothing itself. Each program loads only the modules that it names, because the
+libraries of the others would double its start-up time.
 """
--- a/chestnutfall/control/audit_record.py
+++ b/chestnutfall/control/audit_record.py
@@ -1,4 +1,4 @@
-"""One accepted change, as the auditor reads it."""
+"""Hash-chained audit records of accepted configuration changes."""
 
 from __future__ import annotations
 
@@ -10,11 +10,24 @@
 from .commands import ChangeConfig
 
 FIRST_HASH = "0" * 64
+"""`previous_hash` of the first record."""
 
 
 @dataclass(frozen=True, slots=True)
 class AuditRecord:
-    """A change, chained to the one before by its hash."""
+    """An accepted configuration change, chained to the previous record by its hash.
+
+    Attributes
+    ----------
+    revision : int
+        Configuration revision that the change produced.
+    change : ChangeConfig
+        The change as it was committed to the log.
+    previous_hash : str
+        `chain_hash` of the previous record; `FIRST_HASH` for the first one.
+    chain_hash : str
+        Hex SHA-256 of `previous_hash`, `revision` and `change`.
+    """
 
     revision: int
     change: ChangeConfig
@@ -23,11 +36,11 @@
 
     @classmethod
     def following(cls, previous_hash: str, revision: int, change: ChangeConfig) -> AuditRecord:
-        """Make the record of `change`."""
+        """Create the record of `change` that follows the one with `previous_hash`."""
         return cls(revision, change, previous_hash, _chain_hash(previous_hash, revision, change))
 
-    def is_genuine(self) -> bool:
-        """Whether the hash fits the content."""
+    def has_valid_hash(self) -> bool:
+        """Whether `chain_hash` matches the content of the record."""
         return self.chain_hash == _chain_hash(self.previous_hash, self.revision, self.change)
 
 
--- a/chestnutfall/control/broken_upstream.py
+++ b/chestnutfall/control/broken_upstream.py
@@ -1,54 +1,61 @@
-"""An upstream of which answers broke off."""
+"""An upstream whose answers broke off, and the requests that it was running."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .broken_span import BrokenSpan
-from .crash_messages import MOST_SUSPECTS
+from .crash_messages import MAX_SUSPECTS
+from .run_interval import RunInterval
 
-TOGETHER_MS = 1_000
-"""A process that ends breaks all its answers off at once; gateways that are busy see it late."""
+SAME_END_WINDOW_MS = 1_000
+"""Breaks within this time count as one process end: a process that ends breaks all its answers at
+once, but busy gateways notice it late."""
 
 
 @dataclass(slots=True)
 class BrokenUpstream:
-    """What it was running, and whether it ended.
+    """What an upstream with broken answers was running, and whether its process ended.
 
     Attributes
     ----------
+    address : str
+        Address at which the upstream listened.
     last_ms : int
-        When the last report came.
+        Clock time of the last report about it.
     ended_ms : int or None
-        When it was known that its process ended; None while it may only have dropped connections.
-    untold : dict of str to BrokenSpan
+        Clock time at which the end of its process was detected; None while it may only have dropped
+        connections.
+    uncommitted : dict of str to RunInterval
         Requests that it was running and that are not in the log yet, by fingerprint.
-    told : set of str
-        Fingerprints of those that are.
+    committed : set of str
+        Fingerprints of the requests that are in the log already.
     """
 
     address: str
     last_ms: int
     ended_ms: int | None = None
-    untold: dict[str, BrokenSpan] = field(default_factory=dict)
-    told: set[str] = field(default_factory=set)
+    uncommitted: dict[str, RunInterval] = field(default_factory=dict)
+    committed: set[str] = field(default_factory=set)
 
     def add(self, fingerprint: str, began_ms: int, broke_ms: int) -> None:
-        """Take a broken run; forget those that broke off long before it."""
-        self.untold = {
+        """Add a broken run, and drop uncommitted ones that broke off long before it.
+
+        At most `MAX_SUSPECTS` uncommitted requests are kept; further ones are ignored.
+        """
+        self.uncommitted = {
             one: span
-            for one, span in self.untold.items()
-            if span.broke_ms >= broke_ms - TOGETHER_MS
+            for one, span in self.uncommitted.items()
+            if span.broke_ms >= broke_ms - SAME_END_WINDOW_MS
         }
-        known = self.untold.get(fingerprint)
+        known = self.uncommitted.get(fingerprint)
         if known is not None:
-            self.untold[fingerprint] = known.with_run(began_ms, broke_ms)
-        elif fingerprint not in self.told and len(self.untold) < MOST_SUSPECTS:
-            self.untold[fingerprint] = BrokenSpan(began_ms, broke_ms)
+            self.uncommitted[fingerprint] = known.with_run(began_ms, broke_ms)
+        elif fingerprint not in self.committed and len(self.uncommitted) < MAX_SUSPECTS:
+            self.uncommitted[fingerprint] = RunInterval(began_ms, broke_ms)
 
-    def note_told(self, fingerprints: Iterable[str]) -> None:
-        """Take that these are in the log."""
+    def mark_committed(self, fingerprints: Iterable[str]) -> None:
+        """Note that these requests are in the log now."""
         for fingerprint in fingerprints:
-            self.untold.pop(fingerprint, None)
-            self.told.add(fingerprint)
+            self.uncommitted.pop(fingerprint, None)
+            self.committed.add(fingerprint)
--- a/chestnutfall/control/caller_quotas.py
+++ b/chestnutfall/control/caller_quotas.py
@@ -1,4 +1,4 @@
-"""The leader's count of what callers of the OpenAI dialect use, over all gateways."""
+"""Quota usage of API callers, summed by the leader over all gateways."""
 
 from __future__ import annotations
 
@@ -14,19 +14,24 @@
 from .control_state import ControlState
 
 NO_REVISION = -1
+"""Differs from every configuration revision, so that the first use loads the limits."""
 
 
 class CallerQuotas:
-    """A `QuotaLedger` whose limits follow the configuration in force."""
+    """A `QuotaLedger` whose limits follow the configuration in force.
+
+    Each caller counts as one organisation. The limits are reloaded on first use after the
+    configuration revision changed.
+    """
 
     def __init__(self, state: ControlState, clock: Clock) -> None:
         self._state = state
         self._ledger = QuotaLedger(OFFICE, clock)
         self._revision = NO_REVISION
 
-    def take(self, msg: UsedQuota | WasShort) -> QuotaNews:
-        """Count what a gateway tells, and say who is short now."""
-        ledger = self._in_force()
+    def record_use(self, msg: UsedQuota | WasShort) -> QuotaNews:
+        """Record usage that a gateway reports, and return the callers that are short of quota."""
+        ledger = self._current_ledger()
         match msg:
             case UsedQuota(uses):
                 for use in uses:
@@ -37,21 +42,21 @@
         return ledger.whole_news()
 
     def ask(self, msg: AskQuota) -> AnswerQuota:
-        """Say whether a request may pass."""
-        return self._in_force().ask(msg.number, msg.organisation, msg.units)
+        """Decide whether a request is within its caller's quota."""
+        return self._current_ledger().ask(msg.number, msg.organisation, msg.units)
 
     def levels(self) -> tuple[QuotaLevel, ...]:
-        """What is left of each caller's rate."""
-        return self._in_force().levels()
+        """Return the remaining quota of each caller."""
+        return self._current_ledger().levels()
 
-    def _in_force(self) -> QuotaLedger:
+    def _current_ledger(self) -> QuotaLedger:
         if self._revision != self._state.revision:
             self._revision = self._state.revision
             self._ledger.use(self._organisations())
         return self._ledger
 
     def _organisations(self) -> Iterator[Organisation]:
-        """Each caller once, with the highest rate that any data centre allows it."""
+        """Yield each caller once, with the highest rate that any data centre allows it."""
         callers: dict[str, Caller] = {}
         for site in self._state.sites.values():
             for name, raw in site.entries.get("callers", {}).items():
--- a/chestnutfall/control/claim.py
+++ b/chestnutfall/control/claim.py
@@ -1,4 +1,4 @@
-"""The right to run one non-idempotent request."""
+"""The exclusive right to run one non-idempotent request."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ClaimStatus(Enum):
-    """What is known of the run that a claim allowed."""
+    """What is known of the run that a claim permits."""
 
     RUNNING = "running"
     DONE = "done"
@@ -16,18 +16,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A committed claim.
+    """A claim that is committed to the log.
 
     Attributes
     ----------
     attempt_id : str
-        The attempt that holds it; only this one may run, finish or release.
+        Attempt that holds the claim. Only this attempt may run the request, and end or release the
+        claim.
     session : str
         Session of the gateway that made the attempt.
     body_digest : str
-        Digest of what was asked, to tell a repeat from another use of the same key.
+        Digest of the request body. It tells a repeated request from another one under the same
+        idempotency key.
+    status : ClaimStatus
+        Last known status of the run.
     expires_ms : int
-        Log time after which it may be forgotten.
+        Log time from which the claim may be dropped.
     """
 
     attempt_id: str
--- a/chestnutfall/control/claim_book.py
+++ b/chestnutfall/control/claim_table.py
@@ -1,4 +1,4 @@
-"""Every claim that is held, by caller and key."""
+"""All held claims, by caller and idempotency key."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 from .commands import ClaimHeld, ClaimTaken, EndClaim, TakeClaim
 
 
-class ClaimBook:
-    """The claims of the replicated state; a function of the log alone.
+class ClaimTable:
+    """The claims of the replicated state. Its content depends on the log alone.
 
     Parameters
     ----------
     entries : iterable of (caller, key, Claim)
+        Claims to start with.
     """
 
     def __init__(self, entries: Iterable[tuple[str, str, Claim]] = ()) -> None:
@@ -23,14 +24,17 @@
         return len(self._claims)
 
     def entries(self) -> Iterator[tuple[str, str, Claim]]:
-        """Yield caller, key and claim."""
+        """Yield caller, idempotency key and claim of each entry."""
         return ((caller, key, claim) for (caller, key), claim in self._claims.items())
 
     def __contains__(self, place: object) -> bool:
         return place in self._claims
 
     def take(self, take: TakeClaim, time_ms: int) -> ClaimTaken | ClaimHeld:
-        """Give the claim to an attempt, unless another one holds it."""
+        """Grant the claim to an attempt unless another attempt holds it.
+
+        The attempt that already holds the claim gets `ClaimTaken` again.
+        """
         claim = self._claims.get((take.caller, take.key))
         if claim is not None and claim.attempt_id != take.attempt_id:
             return ClaimHeld(claim)
@@ -45,7 +49,10 @@
         return ClaimTaken()
 
     def end(self, end: EndClaim) -> None:
-        """Note how an attempt ended, or release its claim if it never ran."""
+        """Record how an attempt ended, or release its claim if the request never ran.
+
+        Does nothing if another attempt holds the claim.
+        """
         place = (end.caller, end.key)
         claim = self._claims.get(place)
         if claim is None or claim.attempt_id != end.attempt_id:
@@ -58,7 +65,7 @@
         )
 
     def expire(self, time_ms: int) -> None:
-        """Forget the claims whose time is over."""
+        """Drop the claims that have expired at log time `time_ms`."""
         expired = [at for at, claim in self._claims.items() if claim.expires_ms <= time_ms]
         for place in expired:
             del self._claims[place]
--- a/chestnutfall/control/commands.py
+++ b/chestnutfall/control/commands.py
@@ -1,7 +1,7 @@
-"""The closed union of commands of the replicated log, and their outcomes.
+"""The closed union of commands in the replicated log, and their outcomes.
 
-Every outcome is a function of the log alone, so that a command that is sent again after a lost
-answer gets the same one from any leader.
+An outcome depends on the log alone. A command that is sent again after a lost answer therefore gets
+the same outcome from any leader.
 """
 
 from __future__ import annotations
@@ -21,11 +21,18 @@
     Attributes
     ----------
     change_id : str
-        Chosen by the operator's tool; the same id always gets the first outcome.
+        Chosen by the operator's tool. A repeated id gets the outcome of the accepted change with
+        it.
+    operator : str
+        Name of the operator who made the change.
+    from_revision : int
+        Revision that the change is based on. If it is not the newest one, nothing is changed.
     patches : str
         JSON object from layer to patch.
+    note : str
+        Free text of the operator, for the audit.
     at_ms : int
-        Wall-clock time of the leader, ms since 1970; for the auditor only.
+        Wall-clock time of the leader, in ms since 1970. Only shown in the audit.
     """
 
     change_id: str
@@ -38,14 +45,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """The change is in the log as `revision`."""
+    """The change is committed as `revision`."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Nothing was changed: `change_id` made `revision` before."""
+    """Nothing was changed, because the base revision of the change is not the newest one.
+
+    Attributes
+    ----------
+    revision : int
+        Newest revision.
+    change_id, operator : str
+        The accepted change that directly followed the base revision.
+    """
 
     revision: int
     change_id: str
@@ -54,7 +69,21 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeClaim:
-    """Claim the one run of a request."""
+    """Claim the only run of a request.
+
+    Attributes
+    ----------
+    caller, key : str
+        Caller and its idempotency key.
+    body_digest : str
+        Digest of the request body.
+    attempt_id : str
+        Attempt that asks for the claim.
+    session : str
+        Session of the gateway that makes the attempt.
+    retention_ms : int
+        How long the claim is kept, in log time.
+    """
 
     caller: str
     key: str
@@ -66,19 +95,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimTaken:
-    """This attempt, and no other, may run."""
+    """The attempt holds the claim and may run."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimHeld:
-    """Another attempt has the claim; this one must not run."""
+    """Another attempt holds `claim`; the one that asked must not run."""
 
     claim: Claim
 
 
 @dataclass(frozen=True, slots=True)
 class EndClaim:
-    """Say how the attempt ended; `status` None releases the claim of one that never ran."""
+    """Record how an attempt ended; a `status` of None releases the claim of one that never ran."""
 
     caller: str
     key: str
@@ -88,14 +117,27 @@
 
 @dataclass(frozen=True, slots=True)
 class AssignEngines:
-    """Give engines to owners; the epoch of each is the index of this entry."""
+    """Assign engines to owners, as (engine, gateway session) pairs.
+
+    The index of this log entry becomes the epoch of each assignment.
+    """
 
     owners: tuple[tuple[str, str], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class TakePermit:
-    """Reserve one load from the weight store."""
+    """Reserve one load from the weight store.
+
+    Attributes
+    ----------
+    permit_id : str
+        Names the permit; a repeated id takes no second one.
+    session : str
+        Session of the gateway that loads.
+    at_once : int
+        Largest number of concurrent permits.
+    """
 
     permit_id: str
     session: str
@@ -104,24 +146,24 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitTaken:
-    """The load may start."""
+    """The permit is granted and the load may start."""
 
 
 @dataclass(frozen=True, slots=True)
 class NoPermit:
-    """As many loads as allowed are under way."""
+    """The permit is denied: too many loads are in progress, or the load rate is spent."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndPermit:
-    """A load ended, or its permit's lease ran out."""
+    """A load ended, or the lease of its permit expired."""
 
     permit_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AdvanceTime:
-    """Log time moves on by `ms`, measured by the leader's monotonic clock."""
+    """Advance log time by `ms`, measured with the leader's monotonic clock."""
 
     ms: int
 
@@ -136,42 +178,45 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentStored:
-    """A document of this version is in force; what was sent is it, or older."""
+    """The document is stored, or was older than the one in force; `version` is in force."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class VersionTaken:
-    """Nothing was changed: this version is in force with other content."""
+    """Nothing was changed: `version` is in force with different content."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class AddUpstream:
-    """A new incarnation of an upstream announced itself."""
+    """Add a new incarnation of an upstream that announced itself."""
 
     record: UpstreamRecord
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLeaves:
-    """An incarnation takes no new work any more."""
+    """Mark an incarnation as leaving: it accepts no new work any more."""
 
     instance: str
 
 
 @dataclass(frozen=True, slots=True)
 class ForgetUpstream:
-    """An incarnation was silent for so long that its record is dropped."""
+    """Drop the record of an incarnation that was silent for long."""
 
     instance: str
 
 
 @dataclass(frozen=True, slots=True)
 class NameVersion:
-    """Requests for an adapter (or, with an empty name, a base model) get this version or newer."""
+    """Require `version` or a newer one for requests for an adapter.
+
+    An empty `adapter` stands for the base model itself.
+    """
 
     model: str
     adapter: str
@@ -180,7 +225,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoteEngineKind:
-    """What the leader learned of the engines of a service, for the next one to begin with."""
+    """Save measurements of a service's engines, as initial values for the next leader."""
 
     service: str
     kind: EngineKind
@@ -188,17 +233,26 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteGroup:
-    """The group has as many voters as the tolerated losses need; it may acknowledge."""
+    """Record that the group of controllers is complete.
+
+    Before this entry, no document or version is acknowledged.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class NoteUpstreamEnd:
-    """An upstream ended while it ran requests with these fingerprints, or some more of them.
+    """Record that an upstream process ended while it ran these requests.
+
+    A second command for the same instance adds requests.
 
     Attributes
     ----------
+    instance : str
+        Incarnation that ended.
+    suspects : tuple of str
+        Fingerprints of the requests for which this end counts as a separate one.
     overlapping : tuple of str
-        Those for which it counts as one with another upstream's end.
+        Fingerprints of the requests for which it counts as one with another upstream's end.
     """
 
     instance: str
@@ -208,14 +262,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ClearSuspect:
-    """An upstream answered the request with this fingerprint in full."""
+    """Clear a request from suspicion, because an upstream answered it in full."""
 
     fingerprint: str
 
 
 @dataclass(frozen=True, slots=True)
 class ForgetCrashes:
-    """Ends of upstreams, and quarantines of requests, are old enough to be dropped."""
+    """Drop process ends and quarantines that are too old.
+
+    Attributes
+    ----------
+    instances : tuple of str
+        Incarnations whose ends are dropped.
+    fingerprints : tuple of str
+        Requests whose quarantine is lifted.
+    """
 
     instances: tuple[str, ...]
     fingerprints: tuple[str, ...]
@@ -223,7 +285,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The command has no further outcome."""
+    """The command was applied; it has no other outcome."""
 
 
 Command = (
--- a/chestnutfall/control/control_client.py
+++ b/chestnutfall/control/control_client.py
@@ -1,4 +1,4 @@
-"""Asking whichever controller leads."""
+"""Client for the controllers that finds the leader."""
 
 from __future__ import annotations
 
@@ -11,14 +11,27 @@
 
 METHOD = "Control"
 RETRY_MS = 60
+"""Pause between two attempts."""
 
 
 class NoController(Exception):
-    """No controller gave an answer in time; the request may or may not take effect."""
+    """No controller answered in time; the request may or may not take effect."""
 
 
 class ControlClient:
-    """Finds the leader and follows it when it changes."""
+    """Sends requests to the leading controller, and follows it when it changes.
+
+    Parameters
+    ----------
+    addresses : iterable of str
+        Controllers to try.
+    clock : Clock
+        Clock for deadlines and pauses.
+    tls : TlsFiles or None
+        Certificates of the connections; None for plain text.
+    call_ms : float
+        Timeout of one attempt.
+    """
 
     def __init__(
         self,
@@ -35,12 +48,12 @@
         self._leader = self._addresses[0]
 
     async def ask(self, msg: Any, within_ms: float) -> Any:
-        """Send `msg` until a leader answers; messages must be safe to send again.
+        """Send `msg` until a leader answers it; it must be safe to send more than once.
 
         Raises
         ------
         NoController
-            When none has answered within `within_ms`.
+            If no leader has answered within `within_ms`.
         """
         end_ms = self._clock.now_ms() + within_ms
         last = "no controller was asked"
@@ -74,6 +87,6 @@
         return self._addresses[(self._addresses.index(address) + 1) % len(self._addresses)]
 
     async def close(self) -> None:
-        """Close every channel."""
+        """Close all channels."""
         for channel in self._channels.values():
             await channel.close()
--- a/chestnutfall/control/control_service.py
+++ b/chestnutfall/control/control_service.py
@@ -1,4 +1,4 @@
-"""What controllers answer to gateways and operators."""
+"""Answers of the controllers to gateways and operators."""
 
 from __future__ import annotations
 
@@ -42,15 +42,16 @@
     Refused,
     TryElsewhere,
 )
-from .operator_desk import OperatorDesk
+from .operator_service import OperatorService
 from .sessions import SESSION_LEASE_MS
 
 MAX_DELTAS = 100
+"""A gateway that is further behind gets the whole configuration."""
 MAX_CLAIM_KEY_CHARS = 512
 
 
 class ControlService:
-    """Answers every message of the control protocol, on the leader only."""
+    """Answers all messages of the control protocol while this controller leads."""
 
     def __init__(
         self,
@@ -63,11 +64,18 @@
         self._replica = replica
         self._state = state
         self._duties = duties
-        self._operators = OperatorDesk(replica, state, duties, clock, admin_key_sha256)
+        self._operators = OperatorService(replica, state, duties, clock, admin_key_sha256)
 
     async def handle(self, msg: Any) -> Any:
-        """Answer `msg`; on a replica that does not lead, say where to ask."""
-        if not self._duties.in_force():
+        """Answer `msg`, or redirect the sender if this replica does not lead.
+
+        Returns
+        -------
+        Any
+            The answer; `TryElsewhere` if nothing was done; `OutcomeUnknown` if leadership was lost
+            or storage failed while the request was in progress.
+        """
+        if not self._duties.ensure_leading():
             return TryElsewhere(self._replica.leader_address())
         try:
             return await self._answer(msg)
@@ -87,10 +95,10 @@
             case TakePermit():
                 return await self._on_permit(msg)
             case BrokenRun() | AnsweredRun():
-                self._duties.crashes.take(msg)
+                self._duties.crashes.handle_report(msg)
                 return Done()
             case UsedQuota() | WasShort():
-                return self._duties.quotas.take(msg)
+                return self._duties.quotas.record_use(msg)
             case AskQuota():
                 return self._duties.quotas.ask(msg)
             case ApplyChange() | Read() | ChangeMember():
@@ -111,7 +119,7 @@
         self._duties.renew(msg)
         directory = self._duties.directory
         known = msg.ownership_version == directory.version
-        deltas, full = self._what_is_missing(msg, site)
+        deltas, full = self._config_updates(msg, site)
         return HeartbeatReply(
             SESSION_LEASE_MS,
             self._state.revision,
@@ -121,22 +129,27 @@
             directory.version,
             None if known else directory.owners,
             None if known else directory.gateways,
-            self._duties.give_up(msg.session),
-            self._suspects_after(msg.suspects_known),
+            self._duties.engines_to_release(msg.session),
+            self._suspects_newer_than(msg.suspects_known),
         )
 
-    def _suspects_after(self, known: int) -> SuspectRequests | None:
+    def _suspects_newer_than(self, known: int) -> SuspectRequests | None:
         crashes = self._state.crashes
         return crashes.suspects() if crashes.changes != max(known, 0) else None
 
-    def _what_is_missing(
+    def _config_updates(
         self, msg: Heartbeat, site: SiteConfig
     ) -> tuple[tuple[ConfigDelta, ...], ConfigFull | None]:
+        """Return the changes that a gateway lacks, or the whole configuration.
+
+        The whole configuration goes to a gateway that has none, is more than `MAX_DELTAS` revisions
+        behind, is ahead of this leader, or holds other content under the same revision.
+        """
         behind = self._state.revision - msg.revision
         if behind == 0 and msg.digest == site.digest:
             return (), None
         if behind <= 0 or msg.revision < 0 or behind > MAX_DELTAS:
-            return (), self._full(msg.site)
+            return (), self._full_config(msg.site)
         records = self._state.audit[msg.revision :]
         return (
             tuple(
@@ -146,7 +159,7 @@
             None,
         )
 
-    def _full(self, site: str) -> ConfigFull:
+    def _full_config(self, site: str) -> ConfigFull:
         layers = self._state.layers.layers
         wanted = {name: layers[name] for name in (BASE_LAYER, site_layer(site)) if name in layers}
         return ConfigFull(self._state.revision, msgspec.json.encode(wanted).decode())
@@ -157,8 +170,8 @@
         outcome = await self._commit(msg)
         if isinstance(outcome, ClaimHeld):
             claim = outcome.claim
-            # The gateway that ran it is gone and can't say any more how the run ended.
-            if claim.status is ClaimStatus.RUNNING and self._duties.is_over(claim.session):
+            # The gateway that ran the request is gone, so the outcome of the run can't be known.
+            if claim.status is ClaimStatus.RUNNING and self._duties.has_expired(claim.session):
                 return ClaimHeld(replace(claim, status=ClaimStatus.UNKNOWN))
         return outcome
 
--- a/chestnutfall/control/control_state.py
+++ b/chestnutfall/control/control_state.py
@@ -1,4 +1,4 @@
-"""The state machine of the replicated log."""
+"""State machine of the controllers' replicated log."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ..placement.engine_kind import EngineKind
 from .audit_record import FIRST_HASH, AuditRecord
 from .claim import Claim
-from .claim_book import ClaimBook
+from .claim_table import ClaimTable
 from .commands import (
     COMMAND_CODEC,
     AddUpstream,
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class _Dump:
-    """Everything that a snapshot holds."""
+    """Content of a snapshot."""
 
     layers: dict[str, Any] = field(default_factory=dict)
     audit: list[AuditRecord] = field(default_factory=list)
@@ -67,38 +67,38 @@
 
 
 class ControlState(StateMachine):
-    """Configuration with its audit, claims, ownership and permits.
+    """The replicated state: configuration, audit, claims, ownership, permits and upstreams.
 
     Attributes
     ----------
     layers : LayeredConfig
-        Configuration as accepted.
+        Accepted configuration.
     sites : dict of str to SiteConfig
-        What is in force at each data centre.
+        Configuration in force at each data centre.
     audit : list of AuditRecord
-        Every accepted change; the revision is its number.
-    claims : ClaimBook
-        Claims by caller and key.
+        All accepted changes in order; record `n - 1` produced revision `n`.
+    claims : ClaimTable
+        Claims by caller and idempotency key.
     owners : dict of str to Ownership
-        Owner of each engine.
+        Ownership by engine.
     permits : dict of str to str
-        Session by permit.
+        Gateway session by load permit.
     time_ms : int
         Log time, which never runs faster than real time.
     document : DocumentSlot
-        Whole configuration document, beside the layers.
+        Whole configuration document; independent of the layers.
     roster : UpstreamRoster
         Upstreams that announced themselves to the controllers.
     versions : dict
-        Newest version named, by base model and adapter.
+        Newest required version by base model and adapter.
     group_complete : bool
-        Whether the group ever had all the voters it needs.
+        Whether the group has ever had all the voters it needs.
     engine_kinds : dict of str to EngineKind
-        What leaders learned of the engines of each service.
+        Measured engine characteristics by service.
     crashes : CrashLedger
-        Requests that upstreams were running when they ended.
+        Process ends of upstreams, and the requests that they were running.
     on_apply : callable
-        Told after each command; must not fail.
+        Called with each command after it is applied; must not raise.
     """
 
     def __init__(self) -> None:
@@ -110,7 +110,7 @@
         self.sites = {site: SiteConfig(site, self.layers) for site in self.layers.sites}
         self.audit = dump.audit
         self._changes = {record.change.change_id: record for record in dump.audit}
-        self.claims = ClaimBook(dump.claims)
+        self.claims = ClaimTable(dump.claims)
         self.owners = {ownership.engine: ownership for ownership in dump.owners}
         self.permits = dump.permits
         self.time_ms = dump.time_ms
@@ -144,16 +144,16 @@
 
     @property
     def revision(self) -> int:
-        """Number of the newest accepted change; 0 before the first."""
+        """Revision of the newest accepted change; 0 if there is none."""
         return len(self.audit)
 
     @property
     def chain_hash(self) -> str:
-        """Hash of the newest audit record."""
+        """Chain hash of the newest audit record; `FIRST_HASH` if there is none."""
         return self.audit[-1].chain_hash if self.audit else FIRST_HASH
 
-    def change_made_by(self, change_id: str) -> AuditRecord | None:
-        """The accepted change with this id."""
+    def accepted_change(self, change_id: str) -> AuditRecord | None:
+        """Return the audit record of the change with this id, or None if none was accepted."""
         return self._changes.get(change_id)
 
     def apply(self, index: int, data: bytes) -> Any:
@@ -217,13 +217,14 @@
                 raise ValueError(f"unknown command {unknown!r}")
 
     def _change_config(self, change: ChangeConfig) -> Changed | Conflict:
-        # An operator whose answer was lost sends the change again; by then another may have been
-        # accepted. Symptom without this: the first is reported as beaten although it is in force.
+        # An operator's tool resends a change whose answer was lost, and by then another change may
+        # have been accepted. Without this check the resent change is reported as a conflict
+        # although it is in force.
         made = self._changes.get(change.change_id)
         if made is not None:
             return Changed(made.revision)
         if change.from_revision != self.revision:
-            return self._conflict(change.from_revision)
+            return self._conflict_with(change.from_revision)
         record = AuditRecord.following(self.chain_hash, self.revision + 1, change)
         self.audit.append(record)
         self._changes[change.change_id] = record
@@ -237,11 +238,11 @@
             del self.sites[site]
         return Changed(record.revision)
 
-    def _conflict(self, from_revision: int) -> Conflict:
-        beaten_by = min(max(from_revision, 0), self.revision - 1)
-        if beaten_by < 0:
+    def _conflict_with(self, from_revision: int) -> Conflict:
+        first_newer = min(max(from_revision, 0), self.revision - 1)
+        if first_newer < 0:
             return Conflict(0, "", "")
-        change = self.audit[beaten_by].change
+        change = self.audit[first_newer].change
         return Conflict(self.revision, change.change_id, change.operator)
 
     def _take_permit(self, take: TakePermit) -> PermitTaken | NoPermit:
--- a/chestnutfall/control/crash_ledger.py
+++ b/chestnutfall/control/crash_ledger.py
@@ -1,4 +1,4 @@
-"""Which requests upstreams were running when they ended."""
+"""Process ends of upstreams, and the requests that were running at the time."""
 
 from __future__ import annotations
 
@@ -12,49 +12,53 @@
 from .upstream_end import EXPLAINED, UpstreamEnd
 
 ENDS_TO_QUARANTINE = 3
-"""A request that was resumed once may meet two ends by chance, one on each of its upstreams. Each
-end more takes an upstream from all other callers for seconds."""
-ENDS_WITHOUT_DOUBT = 5
-"""Two requests that share every end, and none ever answered, are not told apart by waiting longer;
-by now each of them is worth less than the next upstream."""
+"""A request that was resumed once can be part of two ends by coincidence, one on each of its
+upstreams. Each further end takes an upstream from all other callers for seconds."""
+ENDS_TO_QUARANTINE_TIED = 5
+"""Waiting longer does not separate two requests that share every end and were never answered. From
+this count on, both together are worth less than the next upstream."""
 ENDS_TO_WATCH = 2
-"""One end more and it may be quarantined: from here on an answer anywhere must be known."""
+"""One more end may quarantine the request, so from here on gateways report each complete answer to
+it."""
 QUARANTINE_MS = 60_000
-"""Whoever was refused without cause, since all upstreams of a service ended one after the other
-under what everybody asks for, is served again within a minute."""
-LONGER_EACH_TIME = 10
-"""One minute, ten, a hundred, then a day: what does end upstreams takes about five more on the
-first day, a third of an ordinary day's losses at the size we design for."""
-LONGEST_MS = 24 * 3_600_000
-"""Nothing is refused for longer on what was seen a day ago."""
-MOST_ENDS = 512
-"""A month of ordinary losses; with the bound on requests this keeps the ledger under 5 MB."""
-MOST_QUARANTINED = 1_024
-MOST_WATCHED = 256
-"""Gateways are told whole lists: under 50 KB, and in practice a few lines."""
-MOST_OFFENDERS = 4_096
-"""Kept over quarantines that ended, some 200 bytes each."""
+"""Duration of the first quarantine. If all upstreams of a service end one after the other, a
+frequent request may be quarantined without cause; it is served again within a minute."""
+QUARANTINE_GROWTH_FACTOR = 10
+"""Quarantines last one minute, ten, a hundred, then a day. A request that does end upstreams takes
+about five more on the first day, a third of an ordinary day's losses at the design size."""
+MAX_QUARANTINE_MS = 24 * 3_600_000
+"""Evidence that is older than a day does not keep a request refused."""
+MAX_ENDS = 512
+"""A month of ordinary losses; with `MAX_SUSPECTS` requests an end, the ledger stays under 5 MB."""
+MAX_QUARANTINED = 1_024
+MAX_WATCHED = 256
+"""Gateways receive the whole lists: under 50 KB, and usually a few entries."""
+MAX_OFFENDERS = 4_096
+"""Kept after the quarantine ended; about 200 bytes each."""
 
 
 @dataclass(slots=True)
 class CrashLedger:
-    """Ends of upstreams, and the requests that are to blame for them.
+    """Process ends of upstreams, and the requests that are quarantined for causing them.
 
-    An end blames every request that was running. The one that ends what runs it is in every end
-    of its own; the others meet it by chance. So the first that is in three of them, and in more
-    than each request beside it, explains these ends, and the others are cleared of them. A request
-    that was ever answered in full is cleared of all: what ends each upstream is never answered.
+    An end makes every request that was running a suspect. A request that causes ends is part of
+    each end that it causes; other requests are part of one by coincidence. So a request that is
+    part of at least `ENDS_TO_QUARANTINE` ends, and of more than each request that ran together with
+    it, is quarantined. Requests that tie are quarantined together after `ENDS_TO_QUARANTINE_TIED`
+    ends. A quarantined request explains its ends, and the other requests are cleared of them. A
+    request that was ever answered in full is cleared of all ends, because one that ends every
+    upstream is never answered.
 
     Attributes
     ----------
     ends : dict of str to UpstreamEnd
-        By the incarnation that ended, oldest first.
+        Ends by the incarnation that ended, oldest first.
     quarantined : dict of str to None
-        Fingerprints that no gateway sends, oldest first.
+        Fingerprints of the requests that gateways must not send, oldest first.
     offences : dict of str to int
-        How often a fingerprint was quarantined, also after that ended.
+        How often a fingerprint was quarantined. Kept after the quarantine ended.
     changes : int
-        Counts the commands that changed something.
+        Number of commands that changed the ledger.
     """
 
     ends: dict[str, UpstreamEnd] = field(default_factory=dict)
@@ -65,23 +69,27 @@
     def note_end(
         self, instance: str, suspects: Iterable[str], overlapping: Iterable[str] = ()
     ) -> None:
-        """Take that an upstream ended while it ran these requests, or some more of them."""
+        """Record that an upstream ended while it ran these requests.
+
+        May be called again for the same instance to add requests.
+        """
         end = self.ends.get(instance, UpstreamEnd())
         if end.explained:
             return
         self.changes += 1
-        end = self.ends[instance] = end.with_more(suspects, overlapping)
-        _drop_oldest(self.ends, MOST_ENDS)
-        # What was on its way when a quarantine began, or comes after it, may end one upstream
-        # more. If the requests beside it were blamed for that, they would come ever nearer to a
-        # quarantine of their own; and if it had three ends free each time, it would take three.
+        end = self.ends[instance] = end.with_requests(suspects, overlapping)
+        _drop_oldest(self.ends, MAX_ENDS)
+        # Requests that were in flight when a quarantine began, or that arrive after it ended, may
+        # end one more upstream. If the requests that ran together with them were blamed for it,
+        # these would approach a quarantine of their own. And if each new quarantine needed three
+        # ends again, the request would take three more upstreams each time.
         ran = (*end.suspects, *end.overlapping)
         offenders = [one for one in ran if one in self.offences]
-        for fingerprint in offenders or self._to_blame(end):
+        for fingerprint in offenders or self._to_quarantine(end):
             self._quarantine(fingerprint)
 
     def clear(self, fingerprint: str) -> None:
-        """Take that an upstream answered the request in full."""
+        """Clear a request of all ends and of its quarantine, because it was answered in full."""
         self.changes += 1
         self.quarantined.pop(fingerprint, None)
         self.offences.pop(fingerprint, None)
@@ -90,52 +98,52 @@
                 self.ends[instance] = end.without(fingerprint)
 
     def forget(self, instances: Iterable[str], fingerprints: Iterable[str]) -> None:
-        """Drop ends and quarantines that are old."""
+        """Drop old ends and quarantines."""
         self.changes += 1
         for instance in instances:
             self.ends.pop(instance, None)
         for fingerprint in fingerprints:
             self.quarantined.pop(fingerprint, None)
 
-    def blames(self, fingerprint: str) -> bool:
-        """Whether an answer to the request would change anything."""
+    def implicates(self, fingerprint: str) -> bool:
+        """Whether a complete answer to the request would change the ledger."""
         return fingerprint in self.offences or any(
             end.ran(fingerprint) for end in self.ends.values()
         )
 
     def suspects(self) -> SuspectRequests:
-        """What gateways must know."""
+        """Return the watched and quarantined requests, for the gateways."""
         ends = Counter(one for end in self.ends.values() for one in end.suspects)
         near = (one for one, count in ends.most_common() if count >= ENDS_TO_WATCH)
-        # One whose quarantine is over is held again at its next end, whoever causes that, unless
-        # it is known that it was answered meanwhile.
-        paroled = (one for one in reversed(self.offences) if one not in self.quarantined)
-        watched = itertools.islice(itertools.chain(near, paroled), MOST_WATCHED)
+        # A request whose quarantine is over is quarantined again by the next end that it is part
+        # of, whatever caused that, unless it is known to have been answered in between.
+        released = (one for one in reversed(self.offences) if one not in self.quarantined)
+        watched = itertools.islice(itertools.chain(near, released), MAX_WATCHED)
         quarantined = (QuarantinedRequest(one, self.quarantine_ms(one)) for one in self.quarantined)
         return SuspectRequests(self.changes, tuple(watched), tuple(quarantined))
 
     def quarantine_ms(self, fingerprint: str) -> int:
-        """How long a quarantine lasts that begins with the last offence."""
+        """Return the duration of the quarantine that the latest offence of a request starts."""
         times = max(self.offences.get(fingerprint, 1), 1)
-        return int(min(QUARANTINE_MS * LONGER_EACH_TIME ** (times - 1), LONGEST_MS))
+        return int(min(QUARANTINE_MS * QUARANTINE_GROWTH_FACTOR ** (times - 1), MAX_QUARANTINE_MS))
 
-    def _to_blame(self, end: UpstreamEnd) -> list[str]:
-        """Those of the requests of one end that are to be quarantined now."""
+    def _to_quarantine(self, end: UpstreamEnd) -> list[str]:
+        """Return the requests of one end that have to be quarantined now."""
         wanted = set(end.suspects)
         ends = Counter(one for end in self.ends.values() for one in end.suspects if one in wanted)
         most = max(ends.values(), default=0)
         blamed = [one for one in end.suspects if ends[one] == most]
-        # A tie is left open: the request beside the guilty one was resumed with it from engine to
-        # engine, and only one of the two is in the next end.
+        # A tie stays undecided: an innocent request may have been resumed together with the cause
+        # from engine to engine, and only one of the two will be part of the next end.
         sure = most >= ENDS_TO_QUARANTINE and len(blamed) == 1
-        return blamed if sure or most >= ENDS_WITHOUT_DOUBT else []
+        return blamed if sure or most >= ENDS_TO_QUARANTINE_TIED else []
 
     def _quarantine(self, fingerprint: str) -> None:
         if fingerprint not in self.quarantined:
             self.quarantined[fingerprint] = None
             self.offences[fingerprint] = self.offences.get(fingerprint, 0) + 1
-        _drop_oldest(self.quarantined, MOST_QUARANTINED)
-        _drop_oldest(self.offences, MOST_OFFENDERS)
+        _drop_oldest(self.quarantined, MAX_QUARANTINED)
+        _drop_oldest(self.offences, MAX_OFFENDERS)
         for instance, end in self.ends.items():
             if end.ran(fingerprint):
                 self.ends[instance] = EXPLAINED
--- a/chestnutfall/control/crash_messages.py
+++ b/chestnutfall/control/crash_messages.py
@@ -1,31 +1,32 @@
-"""The closed union of messages on requests that may end upstreams."""
+"""The closed union of messages about requests that may end upstreams."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 
-MOST_SUSPECTS = 256
-"""Requests that are told of one upstream: more than it runs at once, its queue included."""
-MOST_REPORTS = 256
-"""Reports that a gateway keeps: more answers than it has in progress when several upstreams end."""
+MAX_SUSPECTS = 256
+"""Requests kept for one upstream; more than it runs at once, including its queue."""
+MAX_REPORTS = 256
+"""Reports that a gateway keeps; more than the answers it has in progress when several upstreams
+end."""
 
 
 @dataclass(frozen=True, slots=True)
 class BrokenRun:
-    """An answer broke off at a gateway.
+    """Report of a gateway: an answer of an upstream broke off.
 
     Attributes
     ----------
     fingerprint : str
         Digest of the request's caller, path and body.
     instance : str
-        Incarnation of the upstream that ran it.
+        Incarnation of the upstream that ran the request.
     address : str
-        Where that one listened.
+        Address at which that incarnation listened.
     refuses : bool
-        Whether its port was closed just after, so that its process has ended.
+        Whether its port refused connections directly after, which shows that its process ended.
     began_ago_ms, broke_ago_ms : int
-        How long before this report the request was sent there, and its answer broke off.
+        Age of the start of the run and of the break, when the report is sent.
     """
 
     fingerprint: str
@@ -35,22 +36,22 @@
     began_ago_ms: int
     broke_ago_ms: int
 
-    def later(self, by_ms: int) -> BrokenRun:
-        """The same report, sent `by_ms` later."""
+    def delayed_by(self, by_ms: int) -> BrokenRun:
+        """Return the report with ages for sending it `by_ms` later."""
         began_ago_ms = self.began_ago_ms + by_ms
         return replace(self, began_ago_ms=began_ago_ms, broke_ago_ms=self.broke_ago_ms + by_ms)
 
 
 @dataclass(frozen=True, slots=True)
 class AnsweredRun:
-    """An upstream answered a watched request in full, and outlived it."""
+    """Report of a gateway: an upstream answered a watched request in full."""
 
     fingerprint: str
 
 
 @dataclass(frozen=True, slots=True)
 class QuarantinedRequest:
-    """A request that no gateway sends, and the time after which it may be tried again."""
+    """A request that gateways must not send, and the time after which callers may retry it."""
 
     fingerprint: str
     retry_ms: int
@@ -58,16 +59,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspectRequests:
-    """What gateways must know of requests that may end upstreams.
+    """Requests that may end upstreams, as sent to gateways.
 
     Attributes
     ----------
     changes : int
-        Counts the changes; tells a newer word from an older one.
+        Change counter of the ledger; the larger one is newer.
     watched : tuple of str
-        Fingerprints of which gateways tell each whole answer.
+        Fingerprints for which gateways report each complete answer.
     quarantined : tuple of QuarantinedRequest
-        Requests that no gateway sends.
+        Requests that gateways must not send.
     """
 
     changes: int
@@ -76,4 +77,5 @@
 
 
 NO_SUSPECTS = SuspectRequests(-1, (), ())
+"""State of a gateway that has not received any suspects yet."""
 CrashReport = BrokenRun | AnsweredRun
--- a/chestnutfall/control/crash_keeper.py
+++ b/chestnutfall/control/crash_monitor.py
@@ -1,4 +1,4 @@
-"""Brings what gateways see of ended upstreams into the log."""
+"""Detects process ends of upstreams from gateway reports, and commits them to the log."""
 
 from __future__ import annotations
 
@@ -7,37 +7,41 @@
 
 from ..clock import Clock
 from ..consensus import Busy, LeadershipLost, NotLeader, Replica, StorageFailed
-from .broken_span import BrokenSpan
 from .broken_upstream import BrokenUpstream
 from .commands import COMMAND_CODEC, ClearSuspect, Command, ForgetCrashes, NoteUpstreamEnd
 from .control_state import ControlState
 from .crash_messages import AnsweredRun, BrokenRun, CrashReport
+from .run_interval import RunInterval
 
 log = logging.getLogger(__name__)
-LOOK_MS = 50
-"""Small beside the second in which callers come back."""
-COLLECT_MS = 150
-"""All gateways see an upstream's connections close at once and then ask its port, which takes a
-round trip. Blamed by the first report alone, a bystander could reach the third end first."""
-BROKEN_FOR_MS = 10_000
-"""An upstream that ended is back under a new name, or was silent for long, by then."""
-MOST_BROKEN = 1_024
-"""Several data centres of upstreams; each takes some KB for ten seconds."""
-REMEMBER_ENDS_MS = 3_600_000
-"""A request that comes back less than hourly ends too little to be told from chance."""
-MOST_LAST_ENDS = 8_192
-"""Requests that were running when upstreams ended lately; some 150 bytes each."""
-JITTER_MS = 5
-"""Reports of two gateways take ways to the leader that differ by some milliseconds."""
-
-
-class CrashKeeper:
-    """What the leader does about requests that end upstreams, during one term.
-
-    A connection that breaks says little: proxies reset them, and upstreams spoil answers. Only
-    the end of a process counts, and it is known by a port that refuses connections just after, or
-    by another incarnation at the same address. What was running then goes into the log, so that
-    neither a new leader nor a restart of all hosts counts anew.
+POLL_MS = 50
+"""Short compared with the second after which callers retry."""
+REPORT_COLLECTION_MS = 150
+"""How long reports are collected after an end is detected. All gateways see an upstream's
+connections close at the same time and then probe its port, which takes a round trip. If the first
+report alone counted, an innocent request could reach the quarantine threshold before the one that
+causes the ends."""
+BROKEN_RETENTION_MS = 10_000
+"""By then, an upstream that ended has been restarted under a new name or has been silent for
+long."""
+MAX_BROKEN_UPSTREAMS = 1_024
+"""Enough for the upstreams of several data centres; each entry takes some KB for ten seconds."""
+END_RETENTION_MS = 3_600_000
+"""A request that causes an end less than once an hour can't be told from coincidence."""
+MAX_LAST_ENDS = 8_192
+"""Requests that were running when upstreams ended recently; about 150 bytes each."""
+REPORT_JITTER_MS = 5
+"""Reports of two gateways reach the leader with delays that differ by some milliseconds."""
+
+
+class CrashMonitor:
+    """Tracks, during one leader term, the requests that were running when upstreams ended.
+
+    A broken connection alone proves little: proxies reset connections, and upstreams send malformed
+    answers. Only the end of a process counts. It is detected by a port that refuses connections
+    directly after the break, or by another incarnation at the same address. The requests that were
+    running are then committed to the log, so that the counts survive a change of leader and a
+    restart of all hosts.
     """
 
     def __init__(self, replica: Replica, state: ControlState, clock: Clock) -> None:
@@ -47,47 +51,52 @@
         self._broken: dict[str, BrokenUpstream] = {}
         self._answered: dict[str, None] = {}
         self._last_end_ms: dict[str, int] = {}
-        # Ages count from when this leader first saw an entry, by its own clock: a quarantine
-        # may last longer over a change of leader, never shorter.
+        # Ages count from when this leader first saw an entry, by its own clock. A change of leader
+        # can therefore prolong a quarantine, but never shorten it.
         self._ends_seen_ms: dict[str, int] = {}
         self._quarantines_seen_ms: dict[str, int] = {}
 
-    def take(self, report: CrashReport) -> None:
-        """Take what a gateway saw."""
+    def handle_report(self, report: CrashReport) -> None:
+        """Process a gateway's report of a broken or a complete answer."""
         match report:
             case BrokenRun():
                 self._note_broken(report)
             case AnsweredRun(fingerprint):
-                if self._state.crashes.blames(fingerprint):
+                if self._state.crashes.implicates(fingerprint):
                     self._answered[fingerprint] = None
 
-    def replaced(self, address: str, instance: str) -> None:
-        """Take that `instance` listens at `address` now."""
+    def address_reused(self, address: str, instance: str) -> None:
+        """Note that `instance` listens at `address`, so any other incarnation there has ended."""
         for broken_instance, broken in self._broken.items():
             if broken.address == address and broken_instance != instance:
                 self._note_ended(broken_instance, broken, "replaced")
 
     async def run(self) -> None:
-        """Commit what is due again and again, until cancelled."""
+        """Call `commit_due` periodically until cancelled."""
         while True:
-            await self._clock.sleep_ms(LOOK_MS)
-            await self.look()
+            await self._clock.sleep_ms(POLL_MS)
+            await self.commit_due()
 
-    async def look(self) -> None:
-        """Commit what is due."""
+    async def commit_due(self) -> None:
+        """Commit the process ends, cleared requests and expired entries that are due.
+
+        A failed commit is logged and tried again on the next call.
+        """
         try:
             await self._commit_ends()
             await self._commit_answers()
             await self._commit_expiry()
         except (NotLeader, Busy, LeadershipLost, StorageFailed) as exc:
-            # Nothing was dropped here; the next look, or the next leader's, commits it.
+            # No entry was dropped; the next call, or the next leader, commits it.
             log.info("crashes: not committed: %r", exc)
 
     def _note_broken(self, report: BrokenRun) -> None:
         broken = self._broken.get(report.instance)
         if broken is None:
-            if len(self._broken) >= MOST_BROKEN:
-                log.warning("crashes: over %d broken upstreams, one is left out", MOST_BROKEN)
+            if len(self._broken) >= MAX_BROKEN_UPSTREAMS:
+                log.warning(
+                    "crashes: over %d broken upstreams, one is left out", MAX_BROKEN_UPSTREAMS
+                )
                 return
             broken = BrokenUpstream(report.address, self._clock.now_ms())
             self._broken[report.instance] = broken
@@ -104,18 +113,18 @@
     async def _commit_ends(self) -> None:
         now_ms = self._clock.now_ms()
         for instance, broken in list(self._broken.items()):
-            if now_ms > broken.last_ms + BROKEN_FOR_MS:
+            if now_ms > broken.last_ms + BROKEN_RETENTION_MS:
                 del self._broken[instance]
-            elif broken.ended_ms is not None and now_ms >= broken.ended_ms + COLLECT_MS:
+            elif broken.ended_ms is not None and now_ms >= broken.ended_ms + REPORT_COLLECTION_MS:
                 await self._commit_end(instance, broken)
 
     async def _commit_end(self, instance: str, broken: BrokenUpstream) -> None:
-        runs = dict(broken.untold)
-        suspects = tuple(one for one, run in runs.items() if self._counts(one, run))
+        runs = dict(broken.uncommitted)
+        suspects = tuple(one for one, run in runs.items() if self._is_separate_end(one, run))
         overlapping = tuple(one for one in runs if one not in suspects)
         if runs:
             await self._commit_runs(NoteUpstreamEnd(instance, suspects, overlapping))
-        broken.note_told(runs)
+        broken.mark_committed(runs)
         for fingerprint, run in runs.items():
             self._note_last_end(fingerprint, run.broke_ms)
 
@@ -131,20 +140,21 @@
         for fingerprint in set(self._state.crashes.quarantined) - before:
             log.warning("crashes: quarantined content=%s", fingerprint)
 
-    def _counts(self, fingerprint: str, run: BrokenSpan) -> bool:
-        """Whether a run began after the request met its last end.
+    def _is_separate_end(self, fingerprint: str, run: RunInterval) -> bool:
+        """Whether the end counts as a separate one for the request.
 
-        A rack that loses power ends many upstreams under the few requests that everybody sends
-        all the time. Counted one by one, these were quarantined at once: the most usual requests
-        of all. What ends upstreams by itself does so again after each end.
+        It does if a run began after the previous end that the request was part of. A rack that
+        loses power ends many upstreams at once, all while they run the few most frequent requests.
+        If each of these ends counted, exactly the most frequent requests would be quarantined. A
+        request that does end upstreams does so again after each end.
         """
         last_ms = self._last_end_ms.get(fingerprint)
-        return last_ms is None or run.began_ms >= last_ms - JITTER_MS
+        return last_ms is None or run.began_ms >= last_ms - REPORT_JITTER_MS
 
     def _note_last_end(self, fingerprint: str, broke_ms: int) -> None:
         last_ms = self._last_end_ms.pop(fingerprint, broke_ms)
         self._last_end_ms[fingerprint] = max(last_ms, broke_ms)
-        if len(self._last_end_ms) > MOST_LAST_ENDS:
+        if len(self._last_end_ms) > MAX_LAST_ENDS:
             del self._last_end_ms[next(iter(self._last_end_ms))]
 
     async def _commit_answers(self) -> None:
@@ -155,15 +165,15 @@
 
     async def _commit_expiry(self) -> None:
         crashes = self._state.crashes
-        ends = self._older(self._ends_seen_ms, crashes.ends, lambda _: REMEMBER_ENDS_MS)
-        quarantines = self._older(
+        ends = self._older_than(self._ends_seen_ms, crashes.ends, lambda _: END_RETENTION_MS)
+        quarantines = self._older_than(
             self._quarantines_seen_ms, crashes.quarantined, crashes.quarantine_ms
         )
         if ends or quarantines:
             await self._commit(ForgetCrashes(ends, quarantines))
             log.info("crashes: forgot instances=%s contents=%s", ends, quarantines)
 
-    def _older(
+    def _older_than(
         self, seen_ms: dict[str, int], present: Mapping[str, object], age_ms: Callable[[str], int]
     ) -> tuple[str, ...]:
         now_ms = self._clock.now_ms()
--- a/chestnutfall/control/directory.py
+++ b/chestnutfall/control/directory.py
@@ -1,4 +1,4 @@
-"""Who owns what and where to reach them."""
+"""Engine ownership and gateway addresses, as sent to gateways."""
 
 from __future__ import annotations
 
@@ -10,7 +10,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Directory:
-    """Ownership and live gateways under one version, which is never reused."""
+    """Engine ownership and live gateways at one version.
+
+    Attributes
+    ----------
+    version : str
+        Identifies this content; never reused. Empty before the first term.
+    owners : tuple of Ownership
+        Owner of each engine.
+    gateways : tuple of GatewayAddress
+        Live gateways, sorted by session.
+    """
 
     version: str = ""
     owners: tuple[Ownership, ...] = ()
--- a/chestnutfall/control/document_slot.py
+++ b/chestnutfall/control/document_slot.py
@@ -1,4 +1,4 @@
-"""The one whole configuration document that is in force."""
+"""The whole configuration document that is in force."""
 
 from __future__ import annotations
 
@@ -14,19 +14,26 @@
     Attributes
     ----------
     version : int
-        -1 before the first.
+        Version of the document; -1 if there is none.
     content : bytes
-        The document as its operator sent it.
+        The document, compressed.
     """
 
     version: int = -1
     content: bytes = b""
 
     def put(self, put: PutDocument) -> DocumentStored | VersionTaken:
-        """Take `put` if its version is higher; otherwise say what holds."""
+        """Store the document if its version is higher than the one in force.
+
+        Returns
+        -------
+        DocumentStored or VersionTaken
+            `VersionTaken` if the version is in force with different content; otherwise the version
+            that is in force now.
+        """
         if put.version == self.version and put.content != self.content:
-            # Two operators may pick the same version. Symptom if the second were acknowledged:
-            # an auditor reads back something else than what that operator sent.
+            # Two operators may pick the same version. If the second document were acknowledged, an
+            # auditor would read back different content from what that operator sent.
             return VersionTaken(self.version)
         if put.version > self.version:
             self.version = put.version
--- a/chestnutfall/control/messages.py
+++ b/chestnutfall/control/messages.py
@@ -26,7 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSeen:
-    """An upstream that announces itself to a gateway."""
+    """An upstream that announces itself to a gateway.
+
+    Attributes
+    ----------
+    name : str
+        Announced name.
+    incarnation : str
+        Identifies one start of the upstream.
+    service : str
+        Service that the upstream belongs to.
+    """
 
     name: str
     incarnation: str
@@ -35,28 +45,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A gateway renews its session and says what it has applied.
+    """A gateway renews its session and reports its state.
 
     Attributes
     ----------
     session : str
         Name and incarnation of the gateway.
     address : str
-        IP and port for its peers.
+        IP and port for other gateways.
+    site : str
+        Data centre of the gateway.
     revision : int
-        Configuration in force here; -1 before the first.
+        Configuration revision in force at the gateway; -1 before the first.
     digest : str
         Content digest of that configuration.
     engines : tuple of EngineSeen or None
-        Upstreams that announce themselves here; None when unchanged since the last answer.
+        Upstreams that announce themselves to the gateway; None if unchanged since the last answered
+        heartbeat.
     acting : tuple of str
-        Engines this gateway acts for as owner.
+        Engines for which the gateway acts as owner.
     leaving : bool
-        Whether it wants no engine any more.
+        Whether the gateway wants no engines any more.
     ownership_version : str
-        Newest ownership it knows.
+        Newest directory version that the gateway knows.
     suspects_known : int
-        Newest change of the suspect requests that it knows; -1 before the first.
+        Newest change count of the suspect requests that the gateway knows; -1 before the first.
     """
 
     session: str
@@ -73,7 +86,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigDelta:
-    """One accepted change, as far as it concerns a site; JSON from layer to patch."""
+    """One accepted change, restricted to the layers of a site.
+
+    Attributes
+    ----------
+    revision : int
+        Revision that the change produced.
+    patches : str
+        JSON object from layer to patch.
+    """
 
     revision: int
     patches: str
@@ -81,7 +102,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigFull:
-    """All layers that concern a site, at `revision`; JSON from layer to document."""
+    """All configuration layers of a site.
+
+    Attributes
+    ----------
+    revision : int
+        Revision of the layers.
+    layers : str
+        JSON object from layer to document.
+    """
 
     revision: int
     layers: str
@@ -89,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayAddress:
-    """Where a gateway's peers reach it."""
+    """Address at which other gateways reach the gateway with this session."""
 
     session: str
     address: str
@@ -97,20 +126,26 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """The session's lease and what is new.
+    """The renewed lease, and the updates that the gateway lacks.
 
     Attributes
     ----------
     lease_ms : int
-        Length of the lease, counted from when the heartbeat was sent.
+        Length of the session's lease, counted from when the heartbeat was sent.
     revision, digest : int, str
-        Configuration in force at the site and its content digest.
+        Configuration in force at the site, and its content digest.
+    deltas : tuple of ConfigDelta
+        Changes that the gateway lacks, oldest first.
+    full : ConfigFull or None
+        Whole configuration, in place of `deltas`.
+    ownership_version : str
+        Newest directory version.
     owners, gateways : tuple or None
-        Whole ownership and live gateways; None when the sender knows `ownership_version`.
+        Whole ownership and all live gateways; None if the gateway knows `ownership_version`.
     give_up : tuple of str
-        Engines the sender shall stop acting for.
+        Engines that the gateway has to stop acting for.
     suspects : SuspectRequests or None
-        Requests that may end upstreams; None when the sender knows them.
+        Requests that may end upstreams; None if the gateway knows them.
     """
 
     lease_ms: int
@@ -127,7 +162,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyChange:
-    """An operator's change; `dry_run` only validates."""
+    """An operator's configuration change.
+
+    Attributes
+    ----------
+    operator_key : str
+        Secret key of the operator.
+    change_id : str
+        Chosen by the operator's tool, so that a resent change is applied once.
+    from_revision : int
+        Revision that the change is based on.
+    patches : str
+        JSON object from layer to patch.
+    note : str
+        Free text for the audit.
+    dry_run : bool
+        Whether to validate the change only.
+    """
 
     operator_key: str
     change_id: str
@@ -139,14 +190,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Nothing was done, for these reasons."""
+    """The request was refused and nothing was done."""
 
     reasons: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """Read state that a quorum confirms; `what` is a view of the operators' tool."""
+    """Read state that is confirmed by a quorum.
+
+    Attributes
+    ----------
+    operator_key : str
+        Secret key of the operator.
+    what : str
+        View to read: layers, site, audit, status or quotas.
+    site : str
+        Data centre, for the view of a site.
+    after : int
+        Revision after which audit records are returned.
+    """
 
     operator_key: str
     what: str
@@ -156,7 +219,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigView:
-    """Layers, or the merged site, as JSON."""
+    """Configuration as JSON: all layers, or the merged configuration of a site.
+
+    Attributes
+    ----------
+    revision : int
+        Newest revision.
+    digest : str
+        Audit chain hash for all layers, content digest for a site.
+    document : str
+        The configuration.
+    """
 
     revision: int
     digest: str
@@ -165,21 +238,39 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaView:
-    """What is left of each caller's rate."""
+    """Remaining quota of each caller."""
 
     callers: tuple[QuotaLevel, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class AuditView:
-    """Audit records after a revision."""
+    """Audit records that follow a revision, oldest first."""
 
     records: tuple[AuditRecord, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayView:
-    """What a gateway last reported."""
+    """A gateway's state at its last heartbeat.
+
+    Attributes
+    ----------
+    session : str
+        Name and incarnation of the gateway.
+    address : str
+        IP and port for other gateways.
+    site : str
+        Data centre of the gateway.
+    revision, digest : int, str
+        Configuration in force at the gateway.
+    expected_digest : str
+        Digest of the configuration that the site should have.
+    heard_ms_ago : int
+        Time since the last heartbeat.
+    leaving : bool
+        Whether the gateway wants no engines any more.
+    """
 
     session: str
     address: str
@@ -193,7 +284,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """A controller as the leader sees it."""
+    """A controller as seen by the leader.
+
+    Attributes
+    ----------
+    replica_id : str
+        Identity of the replica.
+    address : str
+        IP and port.
+    voter : bool
+        False for a learner.
+    match_index : int
+        Newest log entry that the replica is known to hold.
+    heard_ms_ago : int
+        Time since its last answer.
+    """
 
     replica_id: str
     address: str
@@ -204,7 +309,27 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusView:
-    """The office as the leader sees it."""
+    """The whole deployment as seen by the leader.
+
+    Attributes
+    ----------
+    leader, term : str, int
+        Replica that leads, and its term.
+    commit_index : int
+        Newest committed log entry.
+    revision, chain_hash : int, str
+        Newest configuration revision and the hash of its audit record.
+    claims, permits : int
+        Number of held claims and load permits.
+    members : tuple of MemberView
+        All controllers.
+    gateways : tuple of GatewayView
+        Gateways with an unexpired session.
+    owners : tuple of Ownership
+        Owner of each engine.
+    engines : tuple of EngineSeen
+        Upstreams that announce themselves to live gateways.
+    """
 
     leader: str
     term: int
@@ -221,7 +346,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeMember:
-    """Add a learner, promote it, or remove a controller."""
+    """Change the group of controllers.
+
+    Attributes
+    ----------
+    operator_key : str
+        Secret key of the operator, who needs the admin role.
+    action : str
+        `add` a learner, `promote` it to a voter, or `remove` a controller.
+    replica_id : str
+        Controller to change.
+    address : str
+        IP and port; used by `add`.
+    """
 
     operator_key: str
     action: str
@@ -231,14 +368,20 @@
 
 @dataclass(frozen=True, slots=True)
 class TryElsewhere:
-    """This controller does not lead; nothing was done. `leader` is an address or empty."""
+    """This controller does not lead, and nothing was done.
+
+    Attributes
+    ----------
+    leader : str
+        Address of the leader; empty if unknown.
+    """
 
     leader: str
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """Leadership was lost on the way; the request may or may not take effect."""
+    """Leadership was lost during the request, which may or may not take effect."""
 
 
 CONTROL_CODEC = Codec(
--- a/chestnutfall/control/operator_desk.py
+++ b/chestnutfall/control/operator_service.py
@@ -1,4 +1,4 @@
-"""What controllers answer to operators."""
+"""Answers of the controllers to operators."""
 
 from __future__ import annotations
 
@@ -34,11 +34,12 @@
 )
 
 MAX_TOUCHED = 4000
-"""Judging and applying a change takes about 25 µs an entry and site, and the loop stands still."""
+"""Validating and applying a change takes about 25 µs per entry and site, and blocks the event
+loop."""
 
 
-class OperatorDesk:
-    """Knows operators by their keys, and answers what their roles allow."""
+class OperatorService:
+    """Authenticates operators by their keys, and answers the requests that their roles allow."""
 
     def __init__(
         self,
@@ -55,7 +56,10 @@
         self._admin_key_sha256 = admin_key_sha256
 
     async def answer(self, msg: ApplyChange | Read | ChangeMember) -> Any:
-        """Answer a message, on the leader only."""
+        """Answer an operator's request; called on the leader only.
+
+        A request that the operator's role does not allow is answered with `Refused`.
+        """
         match msg:
             case ApplyChange():
                 return await self._on_change(msg)
@@ -85,7 +89,7 @@
         return name
 
     async def _on_change(self, msg: ApplyChange) -> Changed | Conflict | Refused:
-        made = self._state.change_made_by(msg.change_id)
+        made = self._state.accepted_change(msg.change_id)
         patches = read_json_text(msg.patches, "change")
         if patches.is_error():
             return Refused(tuple(str(finding) for finding in patches.error))
@@ -104,7 +108,7 @@
             int(time.time() * 1000),
         )
         if msg.from_revision == self._state.revision:
-            reasons = tuple(self._what_is_wrong(patches.ok))
+            reasons = tuple(self._validation_errors(patches.ok))
             if reasons:
                 return Refused(reasons)
         if msg.dry_run:
@@ -112,7 +116,7 @@
         outcome: Changed | Conflict = await self._replica.propose(COMMAND_CODEC.encode(change))
         return outcome
 
-    def _what_is_wrong(self, patches: dict[str, Any]) -> Iterator[str]:
+    def _validation_errors(self, patches: dict[str, Any]) -> Iterator[str]:
         shape = [f for layer, patch in patches.items() for f in check_patch(layer, patch)]
         yield from map(str, shape)
         if shape:
@@ -184,10 +188,10 @@
                 session.heartbeat.revision,
                 session.heartbeat.digest,
                 self._state.sites[session.heartbeat.site].digest,
-                now_ms - session.heard_ms,
+                now_ms - session.last_seen_ms,
                 session.heartbeat.leaving,
             )
-            for session in self._duties.heard_sessions()
+            for session in self._duties.sessions_with_heartbeat()
             if session.heartbeat is not None and session.heartbeat.site in self._state.sites
         )
         return StatusView(
--- a/chestnutfall/control/owner_plan.py
+++ b/chestnutfall/control/owner_plan.py
@@ -1,4 +1,4 @@
-"""Which gateway shall own which engine."""
+"""Assignment of engines to gateways."""
 
 from __future__ import annotations
 
@@ -11,19 +11,22 @@
 def plan_owners(
     engines: Iterable[str], gateways: Iterable[str], present: Mapping[str, str]
 ) -> dict[str, str]:
-    """Spread `engines` evenly over `gateways`, moving as few as possible.
+    """Spread `engines` evenly over `gateways`, and move as few engines as possible.
 
     Parameters
     ----------
-    engines, gateways : iterable of str
-        Live engines and gateways that may own.
+    engines : iterable of str
+        Live engines.
+    gateways : iterable of str
+        Sessions of the gateways that may own engines.
     present : mapping
-        Owner of each engine now.
+        Current owner by engine.
 
     Returns
     -------
     dict
-        Owner of each engine; loads differ by one at most.
+        Owner by engine. The number of engines per gateway differs by at most one. Empty if there
+        are no gateways.
     """
     names = sorted(set(gateways))
     wanted = sorted(set(engines))
@@ -56,6 +59,6 @@
 
 
 def _preferred(engine: str, room: Mapping[str, int]) -> str:
-    """The gateway with room that scores highest for the engine (rendezvous hashing)."""
+    """Return the gateway with free capacity that has the highest rendezvous hash for the engine."""
     open_names = [name for name, left in room.items() if left > 0]
     return max(open_names, key=lambda name: mmh3.hash64(f"{engine}|{name}", signed=False)[0])
--- a/chestnutfall/control/ownership.py
+++ b/chestnutfall/control/ownership.py
@@ -1,4 +1,4 @@
-"""Who decides for an engine."""
+"""Ownership of an engine by a gateway."""
 
 from __future__ import annotations
 
@@ -7,14 +7,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Ownership:
-    """One engine's owner.
+    """The gateway that may give orders to an engine.
 
     Attributes
     ----------
+    engine : str
+        Name of the engine.
     owner : str
         Session of the owning gateway.
     epoch : int
-        Fencing number of its orders; grows with every new owner of any engine.
+        Fencing token of the owner's orders: the log index of the assignment, so it grows with each
+        assignment.
     """
 
     engine: str
--- a/chestnutfall/control/rpc_transport.py
+++ b/chestnutfall/control/rpc_transport.py
@@ -1,4 +1,4 @@
-"""Replicas talk over gRPC."""
+"""gRPC transport between replicas."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RpcTransport(Transport):
-    """One channel to each address."""
+    """Sends consensus messages over one gRPC channel per address."""
 
     def __init__(self, tls: TlsFiles | None) -> None:
         self._tls = tls
@@ -26,6 +26,6 @@
         return await channel.call(METHOD, msg, timeout_ms)
 
     async def close(self) -> None:
-        """Close every channel."""
+        """Close all channels."""
         for channel in self._channels.values():
             await channel.close()
--- a/chestnutfall/control/sessions.py
+++ b/chestnutfall/control/sessions.py
@@ -1,4 +1,4 @@
-"""Live gateways, as the leading controller sees them."""
+"""Gateway sessions on the leading controller."""
 
 from __future__ import annotations
 
@@ -9,31 +9,53 @@
 from .messages import EngineSeen, Heartbeat
 
 SESSION_LEASE_MS = 1500
+"""Length of a gateway session's lease, renewed by each heartbeat."""
 ORDER_DEADLINE_MS = 500
+"""Allowance for an order that is sent at the end of a lease and still on its way to the engine."""
 
 
 @dataclass(frozen=True, slots=True)
 class Session:
-    """A gateway's newest heartbeat; `heartbeat` None for an owner not heard by this leader."""
+    """The state of one gateway's session.
+
+    Attributes
+    ----------
+    session : str
+        Name and incarnation of the gateway.
+    last_seen_ms : int
+        Clock time of the last heartbeat. For an owner that has sent none to this leader, the time
+        at which this leader was elected.
+    heartbeat : Heartbeat or None
+        Last heartbeat, without its `engines`; None if this leader got none.
+    engines : tuple of EngineSeen
+        Upstreams that announce themselves to the gateway.
+    """
 
     session: str
-    heard_ms: int
+    last_seen_ms: int
     heartbeat: Heartbeat | None
     engines: tuple[EngineSeen, ...] = ()
 
 
 class Sessions:
-    """Sessions by name, with leases kept in the leader's memory.
+    """Gateway sessions by name, with leases that only the leader's memory holds.
+
+    A new leader has received no heartbeats, so it counts its election as the last heartbeat of each
+    owner in the log. The previous leader granted every lease before that.
 
-    A new leader has heard nobody, so it treats each owner in the log as heard at its election:
-    a lease that the old leader granted was granted before that.
+    Parameters
+    ----------
+    now_ms : int
+        Clock time of the election.
+    owners : iterable of str
+        Sessions that own engines according to the log.
     """
 
     def __init__(self, now_ms: int, owners: Iterable[str]) -> None:
         self._sessions = {name: Session(name, now_ms, None) for name in owners}
 
     def renew(self, heartbeat: Heartbeat, now_ms: int) -> None:
-        """Note a heartbeat."""
+        """Renew the session that `heartbeat` belongs to."""
         before = self._sessions.get(heartbeat.session)
         engines = heartbeat.engines
         if engines is None:
@@ -43,38 +65,39 @@
         )
 
     def knows_engines_of(self, session: str) -> bool:
-        """Whether this leader has had a whole list of engines from `session`."""
+        """Whether `session` sent a full list of its upstreams to this leader."""
         found = self._sessions.get(session)
         return found is not None and found.heartbeat is not None
 
     def get(self, session: str) -> Session | None:
-        """The session by this name."""
+        """Return the session, or None if it is unknown or was removed."""
         return self._sessions.get(session)
 
     def all(self) -> list[Session]:
-        """Every session that is not known to be over."""
+        """Return all sessions that were not removed."""
         return list(self._sessions.values())
 
     def live(self, now_ms: int) -> Iterator[Session]:
-        """Yield sessions whose lease may still be valid, heard by this leader."""
+        """Yield the sessions with a heartbeat whose lease is still valid by the leader's clock."""
         for session in self._sessions.values():
-            if session.heartbeat is not None and now_ms < session.heard_ms + SESSION_LEASE_MS:
+            if session.heartbeat is not None and now_ms < session.last_seen_ms + SESSION_LEASE_MS:
                 yield session
 
-    def is_over(self, name: str, now_ms: int) -> bool:
-        """Whether `name` can't act any more, by its own clock and ours.
+    def has_expired(self, name: str, now_ms: int) -> bool:
+        """Whether the gateway can no longer act as an owner, by its own clock and the leader's.
 
-        The lease on the gateway runs from when it sent the heartbeat, so it ends first there
-        unless its clock is slow; the drift bound covers that, and the order deadline covers an
-        order sent in the lease's last moment to an engine that does not check fencing numbers.
+        The gateway counts its lease from when it sent the heartbeat, so the lease ends there first
+        unless the gateway's clock is slow. The drift bound covers a slow clock. The order deadline
+        covers an order that is sent at the end of the lease to an engine that does not check
+        fencing tokens. An unknown session has expired.
         """
         session = self._sessions.get(name)
         if session is None:
             return True
         wait_ms = SESSION_LEASE_MS * (1 + DRIFT_BOUND) + ORDER_DEADLINE_MS
-        return now_ms > session.heard_ms + wait_ms
+        return now_ms > session.last_seen_ms + wait_ms
 
-    def forget_over(self, now_ms: int) -> None:
-        """Drop sessions that are over."""
-        for name in [name for name in self._sessions if self.is_over(name, now_ms)]:
+    def remove_expired(self, now_ms: int) -> None:
+        """Remove the sessions that have expired."""
+        for name in [name for name in self._sessions if self.has_expired(name, now_ms)]:
             del self._sessions[name]
--- a/chestnutfall/control/upstream_record.py
+++ b/chestnutfall/control/upstream_record.py
@@ -1,32 +1,38 @@
-"""One incarnation of an upstream, as the log knows it."""
+"""The log's record of one incarnation of an upstream."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 
-def incarnation(name: str, started_ms: int) -> str:
-    """The key of one start of an upstream; the name itself where no start is told."""
+def incarnation_key(name: str, started_ms: int) -> str:
+    """Return the key of one start of an upstream; its name alone if it reports no start time."""
     return f"{name}~{started_ms}" if started_ms else name
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRecord:
-    """An upstream that announced itself.
+    """One incarnation of an upstream that announced itself.
 
     Attributes
     ----------
     instance : str
-        Unique for each start of the upstream, by `incarnation`.
+        Unique for each start of the upstream; made by `incarnation_key`.
+    service : str
+        Service that the upstream belongs to.
     address : str
-        IP and port; another incarnation, of any service, may get it later.
+        IP and port. Another incarnation, of any service, may get the same address later.
+    data_centre : str
+        Data centre of the upstream.
     leaving : bool
-        Whether it said that it wants no new work; an incarnation never takes that back.
+        Whether the upstream announced that it accepts no new work. An incarnation never takes that
+        back.
     name : str
-        Name that it announces, which it may keep over its restarts; empty where that is
-        `instance`, as in logs written before names were told apart.
+        Announced name, which may stay the same over restarts. Empty in old log entries, where
+        `instance` is the name.
     started_ms : int
-        Unix time of its start; 0 where it tells none, and each start then has a new name.
+        Start time in ms since 1970; 0 if the upstream reports none, and then each start has a new
+        name.
     """
 
     instance: str
@@ -39,5 +45,5 @@
 
     @property
     def announced_name(self) -> str:
-        """The name under which the upstream itself knows itself."""
+        """Name that the upstream announces itself with."""
         return self.name or self.instance
--- a/chestnutfall/control/upstream_roster.py
+++ b/chestnutfall/control/upstream_roster.py
@@ -1,4 +1,4 @@
-"""Every upstream incarnation that announced itself."""
+"""All incarnations of upstreams that announced themselves."""
 
 from __future__ import annotations
 
@@ -7,25 +7,28 @@
 from .upstream_record import UpstreamRecord
 
 MAX_TOMBSTONES = 4096
-"""A delayed announcement is minutes old at most; 4,096 departures cover a busy day's hours."""
+"""A delayed announcement is at most minutes old; 4,096 departures cover hours of a busy day."""
 
 
 @dataclass
 class UpstreamRoster:
-    """Records by instance, and the instances that are gone for good.
+    """Records of upstreams, and tombstones of the incarnations that left.
 
     Attributes
     ----------
+    records : dict of str to UpstreamRecord
+        Records by instance.
     tombstones : dict of str to None
-        Instances that left, oldest first.
+        Instances that left, oldest first. They must not be added again.
     """
 
     records: dict[str, UpstreamRecord] = field(default_factory=dict)
     tombstones: dict[str, None] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        # Each new upstream asks for the other lives of its name; looked for among thousands, those
-        # that all come back after an outage keep every controller busy for seconds.
+        # Each new upstream looks up the other incarnations of its name. After an outage thousands
+        # come back together, and without this index the searches keep every controller busy for
+        # seconds.
         self._by_name: dict[str, set[str]] = {}
         for record in self.records.values():
             self._index(record)
@@ -34,16 +37,19 @@
         self._by_name.setdefault(record.announced_name, set()).add(record.instance)
 
     def add(self, record: UpstreamRecord) -> None:
-        """Take a new incarnation, unless it left before."""
-        # An announcement can be held up on its way until after its sender left. Symptom: new
-        # work for an upstream that said it takes none. The tombstone outlives such a delay.
+        """Add a new incarnation, unless it left before.
+
+        Earlier incarnations of the same name are removed, and get tombstones.
+        """
+        # An announcement can be delayed until after its sender left. Without tombstones, an
+        # upstream that announced that it accepts no work would get some. They outlive such a delay.
         if self.is_gone(record):
             return
-        for earlier in self._lives(record.announced_name):
+        for earlier in self._incarnations(record.announced_name):
             if earlier.started_ms < record.started_ms:
-                # The restart forgot all that the life before held. Work for that life would
-                # be refused by an engine that looks like the right one.
-                self._bury(earlier.instance)
+                # The restarted engine lost all adapters that the earlier incarnation held. Work for
+                # that one would be sent to the right address and refused there.
+                self._add_tombstone(earlier.instance)
                 self.forget(earlier.instance)
         known = self.records.get(record.instance)
         if known is None or not known.leaving:
@@ -54,26 +60,26 @@
         """Whether this incarnation left, or a later start of the same upstream is known."""
         if record.instance in self.tombstones:
             return True
-        # One that is still listed has no later start: that one would have replaced it.
+        # A listed incarnation has no later start: that one would have replaced it.
         return record.instance not in self.records and any(
-            one.started_ms > record.started_ms for one in self._lives(record.announced_name)
+            one.started_ms > record.started_ms for one in self._incarnations(record.announced_name)
         )
 
-    def newest_life(self, name: str) -> UpstreamRecord | None:
-        """The latest start known of the upstream that announces itself as `name`."""
-        return max(self._lives(name), key=lambda one: one.started_ms, default=None)
+    def newest_incarnation(self, name: str) -> UpstreamRecord | None:
+        """Return the latest known start of the upstream with this announced name, or None."""
+        return max(self._incarnations(name), key=lambda one: one.started_ms, default=None)
 
-    def _lives(self, name: str) -> list[UpstreamRecord]:
+    def _incarnations(self, name: str) -> list[UpstreamRecord]:
         return [self.records[instance] for instance in sorted(self._by_name.get(name, ()))]
 
     def mark_leaving(self, instance: str) -> None:
-        """Note that `instance` takes no new work, for good."""
-        self._bury(instance)
+        """Mark an incarnation as leaving for good; it gets no new work."""
+        self._add_tombstone(instance)
         if instance in self.records:
             self.records[instance] = replace(self.records[instance], leaving=True)
 
     def forget(self, instance: str) -> None:
-        """Drop a record that was silent for long."""
+        """Drop the record of an incarnation, without a tombstone."""
         record = self.records.pop(instance, None)
         if record is None:
             return
@@ -82,7 +88,7 @@
         if not lives:
             del self._by_name[record.announced_name]
 
-    def _bury(self, instance: str) -> None:
+    def _add_tombstone(self, instance: str) -> None:
         self.tombstones[instance] = None
         while len(self.tombstones) > MAX_TOMBSTONES:
             del self.tombstones[next(iter(self.tombstones))]
--- a/chestnutfall/coordination/leader_term.py
+++ b/chestnutfall/coordination/leader_term.py
@@ -11,8 +11,8 @@
 from ..consensus import Replica
 from ..control.commands import Command, NameVersion, PutDocument
 from ..control.control_state import ControlState
-from ..control.crash_keeper import CrashKeeper
 from ..control.crash_messages import AnsweredRun, BrokenRun, CrashReport
+from ..control.crash_monitor import CrashMonitor
 from ..control.upstream_record import UpstreamRecord
 from ..limits.limit_registry import LimitRegistry
 from ..limits.messages import AskTurn, HeardLimit
@@ -77,7 +77,7 @@
         self._placer = Placer(clock, limits, backoffs)
         self._repeats = RepeatPool(repeats, clock)
         self._quotas = QuotaLedger(quotas, clock)
-        self._crashes = CrashKeeper(replica, state, clock)
+        self._crashes = CrashMonitor(replica, state, clock)
         self._sessions = GatewaySessions()
         self._limits = LimitDesk(limits, backoffs, self._placer, self._sessions, clock)
         self._backoffs = BackoffDesk(backoffs, self._placer, self._sessions, clock)
@@ -201,7 +201,7 @@
             case AskTurn():
                 self._limits.ask(session, msg)
             case BrokenRun() | AnsweredRun():
-                self._crashes.take(msg)
+                self._crashes.handle_report(msg)
                 self._leave_if_ended(msg)
                 return
             case PlaceRequest():
--- a/chestnutfall/coordination/upstream_desk.py
+++ b/chestnutfall/coordination/upstream_desk.py
@@ -15,8 +15,8 @@
     UpstreamLeaves,
 )
 from ..control.control_state import ControlState
-from ..control.crash_keeper import CrashKeeper
-from ..control.upstream_record import UpstreamRecord, incarnation
+from ..control.crash_monitor import CrashMonitor
+from ..control.upstream_record import UpstreamRecord, incarnation_key
 from .relay_messages import Announce, Depart
 from .upstream_watch import UpstreamWatch
 
@@ -45,7 +45,7 @@
         self,
         replica: Replica,
         state: ControlState,
-        crashes: CrashKeeper,
+        crashes: CrashMonitor,
         clock: Clock,
         heartbeat_ms: int,
         is_named_service: Callable[[str], bool],
@@ -120,7 +120,7 @@
         if known is None:
             await self._commit(AddUpstream(record))
             log.info("upstream: joined %s", record)
-            self._crashes.replaced(record.address, record.instance)
+            self._crashes.address_reused(record.address, record.instance)
         if record.leaving and (known is None or not known.leaving):
             await self._leave(record.instance, "announced")
         heard = self._watch.heard(record.instance, msg.number)
@@ -136,11 +136,11 @@
 
     def _departing(self, msg: Depart) -> str:
         """The incarnation that a departure is about."""
-        newest = self._state.roster.newest_life(msg.name)
+        newest = self._state.roster.newest_incarnation(msg.name)
         # Where it does not say which of its starts leaves, the latest is meant: an engine that
         # is told that it may go gets no new work, whatever else arrives late.
         if msg.started_ms or newest is None:
-            return incarnation(msg.name, msg.started_ms)
+            return incarnation_key(msg.name, msg.started_ms)
         return newest.instance
 
     async def _leave(self, instance: str, reason: str) -> None:
--- a/chestnutfall/forwarding/recent_reports.py
+++ b/chestnutfall/forwarding/recent_reports.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 from ..clock import Clock
-from ..control.crash_messages import MOST_REPORTS, BrokenRun, CrashReport
+from ..control.crash_messages import MAX_REPORTS, BrokenRun, CrashReport
 
 RESEND_WITHIN_MS = 10_000
 """How long reports are sent again. Longer than two elections in a row; a leader that already has a
@@ -18,7 +18,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._reports: deque[tuple[int, CrashReport]] = deque(maxlen=MOST_REPORTS)
+        self._reports: deque[tuple[int, CrashReport]] = deque(maxlen=MAX_REPORTS)
 
     def note(self, report: CrashReport) -> None:
         """Keep a report that is made now."""
@@ -30,4 +30,4 @@
         for at_ms, report in self._reports:
             if at_ms < now_ms - RESEND_WITHIN_MS:
                 continue
-            yield report.later(now_ms - at_ms) if isinstance(report, BrokenRun) else report
+            yield report.delayed_by(now_ms - at_ms) if isinstance(report, BrokenRun) else report
--- a/chestnutfall/operators/config_commands.py
+++ b/chestnutfall/operators/config_commands.py
@@ -177,7 +177,7 @@
     problems = []
     previous = FIRST_HASH
     for number, record in enumerate(records, start=1):
-        genuine = record.is_genuine() and record.previous_hash == previous
+        genuine = record.has_valid_hash() and record.previous_hash == previous
         if not genuine or record.revision != number:
             problems.append(f"audit record {number} does not fit the chain")
         previous = record.chain_hash
--- a/chestnutfall/platform/upstream_json.py
+++ b/chestnutfall/platform/upstream_json.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ..control.upstream_record import UpstreamRecord, incarnation
+from ..control.upstream_record import UpstreamRecord, incarnation_key
 from ..coordination.relay_messages import Announce, Depart
 from ..placement import AdapterName, EngineReport
 
@@ -71,7 +71,7 @@
     """
     wire = _decoded(_ANNOUNCEMENT, body)
     record = UpstreamRecord(
-        incarnation(_checked(name), wire.born),
+        incarnation_key(_checked(name), wire.born),
         wire.service,
         wire.addr,
         wire.zone,
--- a/chestnutfall/quarantine/report_sender.py
+++ b/chestnutfall/quarantine/report_sender.py
@@ -6,7 +6,7 @@
 import logging
 
 from ..control.control_client import ControlClient, NoController
-from ..control.crash_messages import MOST_REPORTS, CrashReport
+from ..control.crash_messages import MAX_REPORTS, CrashReport
 
 log = logging.getLogger(__name__)
 REPORT_MS = 10_000
@@ -21,9 +21,9 @@
         self._sending: set[asyncio.Task[None]] = set()
 
     def send(self, report: CrashReport) -> None:
-        """Send a report in the background; it is dropped if `MOST_REPORTS` are already waiting."""
-        if len(self._sending) >= MOST_REPORTS:
-            log.warning("quarantine: %d reports are waiting, a new one is dropped", MOST_REPORTS)
+        """Send a report in the background; it is dropped if `MAX_REPORTS` are already waiting."""
+        if len(self._sending) >= MAX_REPORTS:
+            log.warning("quarantine: %d reports are waiting, a new one is dropped", MAX_REPORTS)
             return
         task = asyncio.ensure_future(self._deliver(report))
         self._sending.add(task)
--- a/chestnutfall/tests/test_caller_quotas.py
+++ b/chestnutfall/tests/test_caller_quotas.py
@@ -38,7 +38,7 @@
     async def ask(self, msg: Any, within_ms: float) -> Any:
         if self.quotas is None:
             raise NoController("none")
-        return self.quotas.ask(msg) if isinstance(msg, AskQuota) else self.quotas.take(msg)
+        return self.quotas.ask(msg) if isinstance(msg, AskQuota) else self.quotas.record_use(msg)
 
 
 class CallerQuotasTest(unittest.IsolatedAsyncioTestCase):
--- a/chestnutfall/tests/test_crash_ledger.py
+++ b/chestnutfall/tests/test_crash_ledger.py
@@ -14,12 +14,12 @@
 from ..control.commands import COMMAND_CODEC, ClearSuspect, ForgetCrashes, NoteUpstreamEnd
 from ..control.control_state import ControlState
 from ..control.crash_ledger import (
-    LONGER_EACH_TIME,
-    LONGEST_MS,
-    MOST_ENDS,
-    MOST_OFFENDERS,
-    MOST_QUARANTINED,
-    MOST_WATCHED,
+    MAX_ENDS,
+    MAX_OFFENDERS,
+    MAX_QUARANTINE_MS,
+    MAX_QUARANTINED,
+    MAX_WATCHED,
+    QUARANTINE_GROWTH_FACTOR,
     QUARANTINE_MS,
     CrashLedger,
 )
@@ -62,7 +62,7 @@
         self.assertEqual(self._quarantined(), {"fatal"})
         # Reports of one end that come one after the other are one end.
         self.ledger.note_end("i8", ("late report",))
-        self.assertFalse(self.ledger.blames("late report"))
+        self.assertFalse(self.ledger.implicates("late report"))
 
     def test_an_end_that_overlaps_with_another_explains_but_does_not_count(self) -> None:
         for times in range(6):
@@ -71,7 +71,7 @@
         for _ in range(3):
             self._end("fatal")
         self.assertEqual(self._quarantined(), {"fatal"})
-        self.assertFalse(self.ledger.blames("beside"))
+        self.assertFalse(self.ledger.implicates("beside"))
 
     def test_a_tie_is_left_to_the_next_end(self) -> None:
         for _ in range(3):
@@ -107,18 +107,20 @@
             self.assertEqual(self._quarantined(), set())
             self._end("fatal", "beside")
             self.assertEqual(self._quarantined(), {"fatal"})
-        self.assertEqual(lasts_ms[:2], [QUARANTINE_MS, QUARANTINE_MS * LONGER_EACH_TIME])
-        self.assertEqual(lasts_ms[-1], min(QUARANTINE_MS * LONGER_EACH_TIME**3, LONGEST_MS))
+        self.assertEqual(lasts_ms[:2], [QUARANTINE_MS, QUARANTINE_MS * QUARANTINE_GROWTH_FACTOR])
+        self.assertEqual(
+            lasts_ms[-1], min(QUARANTINE_MS * QUARANTINE_GROWTH_FACTOR**3, MAX_QUARANTINE_MS)
+        )
 
     def test_memory_is_bounded(self) -> None:
         rng = random.Random(1)
-        for number in range(3 * MOST_OFFENDERS):
+        for number in range(3 * MAX_OFFENDERS):
             request = f"r{number // 3}"
             self._end(request, *(f"x{rng.randrange(9**9)}" for _ in range(3)))
-        self.assertLessEqual(len(self.ledger.ends), MOST_ENDS)
-        self.assertLessEqual(len(self.ledger.quarantined), MOST_QUARANTINED)
-        self.assertLessEqual(len(self.ledger.offences), MOST_OFFENDERS)
-        self.assertLessEqual(len(self.ledger.suspects().watched), MOST_WATCHED)
+        self.assertLessEqual(len(self.ledger.ends), MAX_ENDS)
+        self.assertLessEqual(len(self.ledger.quarantined), MAX_QUARANTINED)
+        self.assertLessEqual(len(self.ledger.offences), MAX_OFFENDERS)
+        self.assertLessEqual(len(self.ledger.suspects().watched), MAX_WATCHED)
 
     def test_a_snapshot_keeps_it(self) -> None:
         state = ControlState()
--- a/chestnutfall/tests/test_crash_keeper.py
+++ b/chestnutfall/tests/test_crash_monitor.py
@@ -14,9 +14,9 @@
 
 from ..clock import ManualClock
 from ..control.control_state import ControlState
-from ..control.crash_keeper import COLLECT_MS, LOOK_MS, CrashKeeper
 from ..control.crash_ledger import QUARANTINE_MS
 from ..control.crash_messages import AnsweredRun, BrokenRun, SuspectRequests
+from ..control.crash_monitor import POLL_MS, REPORT_COLLECTION_MS, CrashMonitor
 from ..coordination.fleet_leader import FleetLeader
 from ..coordination.gateway_session import GatewaySession
 from ..forwarding.fleet_client import FleetClient
@@ -60,19 +60,19 @@
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         replica = self.cluster.replicas[self.name]
-        self.keeper = CrashKeeper(replica, self._state(), self.cluster.clock)
-        self.tasks.append(asyncio.ensure_future(self.keeper.run()))
+        self.monitor = CrashMonitor(replica, self._state(), self.cluster.clock)
+        self.tasks.append(asyncio.ensure_future(self.monitor.run()))
 
-    async def _pass(self, ms: int = COLLECT_MS + 4 * LOOK_MS) -> None:
-        for _ in range(ms // LOOK_MS):
-            await self.cluster.clock.advance(LOOK_MS)
+    async def _pass(self, ms: int = REPORT_COLLECTION_MS + 4 * POLL_MS) -> None:
+        for _ in range(ms // POLL_MS):
+            await self.cluster.clock.advance(POLL_MS)
 
     def _quarantined(self) -> set[str]:
         return set(self._state().crashes.quarantined)
 
     async def test_broken_connections_to_a_process_that_lives_blame_nobody(self) -> None:
         for number in range(9):
-            self.keeper.take(_broken("usual", number, refuses=False))
+            self.monitor.handle_report(_broken("usual", number, refuses=False))
             await self._pass()
         self.assertEqual(self._state().crashes.ends, {})
 
@@ -80,9 +80,9 @@
         # An upstream spoils an answer now and then; one second and more later it ends under
         # another request, three times over.
         for number in range(3):
-            self.keeper.take(_broken("spoiled", number, refuses=False))
+            self.monitor.handle_report(_broken("spoiled", number, refuses=False))
             await self._pass(1_200)
-            self.keeper.take(_broken("fatal", number))
+            self.monitor.handle_report(_broken("fatal", number))
             await self._pass()
         self.assertEqual(self._quarantined(), {"fatal"})
         self.assertEqual(self._state().crashes.suspects().watched, ())
@@ -90,64 +90,64 @@
     async def test_another_incarnation_at_its_address_shows_that_it_ended(self) -> None:
         # It was back before the gateway looked at its port.
         for number in range(3):
-            self.keeper.take(_broken("fatal", number, refuses=False))
-            self.keeper.replaced(f"127.0.0.1:{9000 + number}", f"new-{number}")
+            self.monitor.handle_report(_broken("fatal", number, refuses=False))
+            self.monitor.address_reused(f"127.0.0.1:{9000 + number}", f"new-{number}")
             await self._pass()
         self.assertEqual(self._quarantined(), {"fatal"})
 
     async def test_a_bystander_that_is_reported_first_is_not_held_instead(self) -> None:
         # It was resumed beside the fatal one each time, and its gateway is the quicker one.
         for number in range(3):
-            self.keeper.take(_broken("beside", number))
-            await self._pass(COLLECT_MS // 2)
-            self.keeper.take(_broken("fatal", number, age_ms=COLLECT_MS // 2))
+            self.monitor.handle_report(_broken("beside", number))
+            await self._pass(REPORT_COLLECTION_MS // 2)
+            self.monitor.handle_report(_broken("fatal", number, age_ms=REPORT_COLLECTION_MS // 2))
             await self._pass()
         self.assertEqual(self._quarantined(), set())
-        self.keeper.take(_broken("fatal", 3))
+        self.monitor.handle_report(_broken("fatal", 3))
         await self._pass()
         self.assertEqual(self._quarantined(), {"fatal"})
 
     async def test_a_rack_that_ends_under_a_usual_lookup_counts_once(self) -> None:
         for number in range(20):
-            self.keeper.take(_broken("usual", number))
-        await self._pass(20 * LOOK_MS + COLLECT_MS)
+            self.monitor.handle_report(_broken("usual", number))
+        await self._pass(20 * POLL_MS + REPORT_COLLECTION_MS)
         self.assertEqual(len(self._state().crashes.ends), 20)
         self.assertEqual(self._quarantined(), set())
         # Its callers repeat it at once, and one more upstream ends that had nothing to do with it.
-        self.keeper.take(_broken("usual", 20))
+        self.monitor.handle_report(_broken("usual", 20))
         await self._pass()
         self.assertEqual(self._quarantined(), set())
 
     async def test_copies_one_after_the_other_count_each(self) -> None:
         for number in range(3):
-            self.keeper.take(_broken("fatal", number))
+            self.monitor.handle_report(_broken("fatal", number))
             await self.cluster.clock.advance(RUN_MS)
         await self._pass()
         self.assertEqual(self._quarantined(), {"fatal"})
 
     async def test_a_quarantine_ends(self) -> None:
         for number in range(3):
-            self.keeper.take(_broken("fatal", number))
+            self.monitor.handle_report(_broken("fatal", number))
             await self._pass()
         self.assertEqual(self._quarantined(), {"fatal"})
         for _ in range(QUARANTINE_MS // 1000 + 2):
             await self.cluster.clock.advance(1000)
         self.assertEqual(self._quarantined(), set())
-        self.keeper.take(_broken("fatal", 7))
+        self.monitor.handle_report(_broken("fatal", 7))
         await self._pass()
         self.assertEqual(self._quarantined(), {"fatal"})
 
     async def test_what_could_not_be_committed_is_committed_later(self) -> None:
         for number in range(3):
-            self.keeper.take(_broken("fatal", number))
+            self.monitor.handle_report(_broken("fatal", number))
             await self.cluster.clock.advance(RUN_MS)
         self.cluster.isolate(self.name)
         await self._pass(600)
         self.cluster.network.cuts.clear()
         # The leader may have lost its term; its reports are not lost with one refused commit.
-        self.keeper._replica = await self.cluster.leader()
-        self.name = self.keeper._replica.replica_id
-        self.keeper._state = self._state()
+        self.monitor._replica = await self.cluster.leader()
+        self.name = self.monitor._replica.replica_id
+        self.monitor._state = self._state()
         await self._pass(600)
         self.assertEqual(self._quarantined(), {"fatal"})
 
--- a/chestnutfall/tests/test_dissemination.py
+++ b/chestnutfall/tests/test_dissemination.py
@@ -165,4 +165,4 @@
                 roster.add(record)
             lives = [one for one in roster.records.values() if one.announced_name == name]
             newest = max(lives, key=lambda one: one.started_ms, default=None)
-            self.assertEqual(roster.newest_life(name), newest)
+            self.assertEqual(roster.newest_incarnation(name), newest)
--- a/chestnutfall/tests/test_fleet_leader.py
+++ b/chestnutfall/tests/test_fleet_leader.py
@@ -14,7 +14,7 @@
 
 from ..control.control_state import ControlState
 from ..control.crash_messages import BrokenRun
-from ..control.upstream_record import UpstreamRecord, incarnation
+from ..control.upstream_record import UpstreamRecord, incarnation_key
 from ..coordination.document_box import pack, unpack
 from ..coordination.fleet_leader import FleetLeader
 from ..coordination.gateway_session import GatewaySession
@@ -113,7 +113,7 @@
         started_ms: int = 0,
         service: str = "drafts",
     ) -> Any:
-        instance = incarnation(name, started_ms)
+        instance = incarnation_key(name, started_ms)
         address = f"127.0.0.1:{name}"
         record = UpstreamRecord(instance, service, address, "dc", leaving, name, started_ms)
         holds = EngineReport({"base": 1}, {}, {}, 0)
--- a/chestnutfall/tests/test_fleet_parts.py
+++ b/chestnutfall/tests/test_fleet_parts.py
@@ -57,7 +57,7 @@
         self.assertTrue(roster.is_gone(before))
         roster.add(before)
         self.assertEqual(list(roster.records.values()), [after])
-        self.assertEqual(roster.newest_life("i1"), after)
+        self.assertEqual(roster.newest_incarnation("i1"), after)
 
     def test_an_announcement_that_tells_no_start_does_not_replace_one_that_does(self) -> None:
         roster = UpstreamRoster()
--- a/properties/safeguards/control_mutants.py
+++ b/properties/safeguards/control_mutants.py
@@ -5,7 +5,7 @@
 from ..mutant import Mutant
 
 _STATE = "chestnutfall/control/control_state.py"
-_CLAIMS = "chestnutfall/control/claim_book.py"
+_CLAIMS = "chestnutfall/control/claim_table.py"
 _STATE_TEST = "properties.test_control_state"
 _SERVICE = "chestnutfall/control/control_service.py"
 _OWNERSHIP_TEST = "chestnutfall.tests.test_ownership"
@@ -51,7 +51,7 @@
     Mutant(
         "engine moves although its owner acts",
         "chestnutfall/control/leader_duties.py",
-        "        if owner is None or self._sessions.is_over(owner, now_ms):",
+        "        if owner is None or self._sessions.has_expired(owner, now_ms):",
         "        if True:",
         _OWNERSHIP_TEST,
     ),
@@ -72,8 +72,8 @@
     Mutant(
         "dead gateway's run called running",
         _SERVICE,
-        "            if claim.status is ClaimStatus.RUNNING and self._duties.is_over(",
-        "            if False and self._duties.is_over(",
+        "            if claim.status is ClaimStatus.RUNNING and self._duties.has_expired(",
+        "            if False and self._duties.has_expired(",
         _ONCE_TEST,
     ),
     Mutant(
--- a/properties/safeguards/quarantine_mutants.py
+++ b/properties/safeguards/quarantine_mutants.py
@@ -5,7 +5,7 @@
 from ..mutant import Mutant
 
 _LEDGER = "chestnutfall.tests.test_crash_ledger"
-_KEEPER = "chestnutfall.tests.test_crash_keeper"
+_KEEPER = "chestnutfall.tests.test_crash_monitor"
 _FORWARDER = "chestnutfall.tests.test_forwarder"
 
 QUARANTINE_MUTANTS = (
@@ -26,36 +26,36 @@
     ),
     Mutant(
         "every broken connection counts as an end",
-        "chestnutfall/control/crash_keeper.py",
+        "chestnutfall/control/crash_monitor.py",
         "        if report.refuses:\n",
         "        if True:\n",
         _KEEPER,
     ),
     Mutant(
         "another incarnation shows nothing",
-        "chestnutfall/control/crash_keeper.py",
+        "chestnutfall/control/crash_monitor.py",
         "            if broken.address == address and broken_instance != instance:\n",
         "            if False:\n",
         _KEEPER,
     ),
     Mutant(
         "overlapping ends count each",
-        "chestnutfall/control/crash_keeper.py",
-        "        return last_ms is None or run.began_ms >= last_ms - JITTER_MS\n",
+        "chestnutfall/control/crash_monitor.py",
+        "        return last_ms is None or run.began_ms >= last_ms - REPORT_JITTER_MS\n",
         "        return True\n",
         _KEEPER,
     ),
     Mutant(
         "blamed by the first report alone",
-        "chestnutfall/control/crash_keeper.py",
-        "now_ms >= broken.ended_ms + COLLECT_MS",
+        "chestnutfall/control/crash_monitor.py",
+        "now_ms >= broken.ended_ms + REPORT_COLLECTION_MS",
         "now_ms >= broken.ended_ms",
         _KEEPER,
     ),
     Mutant(
         "old breaks are blamed for an end",
         "chestnutfall/control/broken_upstream.py",
-        "            if span.broke_ms >= broke_ms - TOGETHER_MS\n",
+        "            if span.broke_ms >= broke_ms - SAME_END_WINDOW_MS\n",
         "            if True\n",
         _KEEPER,
     ),
@@ -76,8 +76,8 @@
     Mutant(
         "an offender gets three ends again",
         "chestnutfall/control/crash_ledger.py",
-        "        for fingerprint in offenders or self._to_blame(end):\n",
-        "        for fingerprint in self._to_blame(end):\n",
+        "        for fingerprint in offenders or self._to_quarantine(end):\n",
+        "        for fingerprint in self._to_quarantine(end):\n",
         _LEDGER,
     ),
     Mutant(
--- a/properties/test_control_state.py
+++ b/properties/test_control_state.py
@@ -133,7 +133,7 @@
             if number == snapshot_after:
                 state = _restored(state)
         self.assertEqual(len(set(accepted.values())), len(accepted))
-        self.assertTrue(all(record.is_genuine() for record in state.audit))
+        self.assertTrue(all(record.has_valid_hash() for record in state.audit))
 
     @given(st.lists(patches, max_size=8))
     def test_deltas_and_a_whole_copy_give_the_same_digest(self, all_patches: list[Any]) -> None:
--- a/properties/test_crash_ledger.py
+++ b/properties/test_crash_ledger.py
@@ -12,16 +12,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from chestnutfall.control.crash_ledger import ENDS_WITHOUT_DOUBT, CrashLedger
+from chestnutfall.control.crash_ledger import ENDS_TO_QUARANTINE_TIED, CrashLedger
 
 others = st.sets(st.sampled_from([f"other-{n}" for n in range(6)]), max_size=4)
 
 
 class CrashLedgerProperties(unittest.TestCase):
-    @given(st.lists(others, min_size=ENDS_WITHOUT_DOUBT, max_size=20))
+    @given(st.lists(others, min_size=ENDS_TO_QUARANTINE_TIED, max_size=20))
     def test_what_ends_each_upstream_is_held(self, beside: list[set[str]]) -> None:
         ledger = CrashLedger()
-        for number, ran in enumerate(beside[:ENDS_WITHOUT_DOUBT]):
+        for number, ran in enumerate(beside[:ENDS_TO_QUARANTINE_TIED]):
             ledger.note_end(f"i{number}", ["fatal", *sorted(ran)])
         self.assertIn("fatal", ledger.quarantined)
 
@@ -53,6 +53,6 @@
             parts.note_end(f"i{number}", ["fatal", *sorted(first)])
             parts.note_end(f"i{number}", sorted(second))
         # A part may decide a tie sooner; the guilty one is held in both.
-        if len(ends) >= ENDS_WITHOUT_DOUBT:
+        if len(ends) >= ENDS_TO_QUARANTINE_TIED:
             self.assertIn("fatal", whole.quarantined)
             self.assertIn("fatal", parts.quarantined)
