--- a/benchmarks/backoffs.py
+++ b/benchmarks/backoffs.py
@@ -20,7 +20,7 @@
 from contextlib import contextmanager
 from unittest import mock
 
-from chestnutfall.coordination.backoff_desk import BackoffDesk
+from chestnutfall.coordination.backoff_coordinator import BackoffCoordinator
 from chestnutfall.settings.repeat_bounds import RepeatBounds
 from chestnutfall.signals.known_backoffs import KnownBackoffs
 from chestnutfall.signals.upstream_backoff import UpstreamBackoff
@@ -37,7 +37,7 @@
 
 @contextmanager
 def _nobody() -> Iterator[None]:
-    with mock.patch.object(BackoffDesk, "hear", lambda *args: None):
+    with mock.patch.object(BackoffCoordinator, "record_backoff", lambda *args: None):
         yield
 
 
@@ -62,14 +62,14 @@
     """One line of the table."""
     office = SignalOffice(gateways, engines=9, plain=3, seed=seed, repeats=REPEATS)
     words = 0
-    hear = BackoffDesk.hear
+    hear = BackoffCoordinator.record_backoff
 
-    def counted(self: BackoffDesk, *args: object) -> None:
+    def counted(self: BackoffCoordinator, *args: object) -> None:
         nonlocal words
         words += 1
         hear(self, *args)  # type: ignore[arg-type]
 
-    with mock.patch.object(BackoffDesk, "hear", counted), WAYS[way]():
+    with mock.patch.object(BackoffCoordinator, "record_backoff", counted), WAYS[way]():
         await office.play(BEFORE_MS, RATES)
         from_ms = office.clock.now_ms()
         resting = [f"{ENGINES}-{at}" for at in range(3)] + [f"{PLAIN}-0"]
--- a/chestnutfall/control/crash_monitor.py
+++ b/chestnutfall/control/crash_monitor.py
@@ -95,7 +95,7 @@
         if broken is None:
             if len(self._broken) >= MAX_BROKEN_UPSTREAMS:
                 log.warning(
-                    "crashes: over %d broken upstreams, one is left out", MAX_BROKEN_UPSTREAMS
+                    "crashes: over %d broken upstreams, a report is dropped", MAX_BROKEN_UPSTREAMS
                 )
                 return
             broken = BrokenUpstream(report.address, self._clock.now_ms())
@@ -132,7 +132,7 @@
         before = set(self._state.crashes.quarantined)
         await self._commit(end)
         log.info(
-            "crashes: instance=%s ended under contents=%s overlapping=%s",
+            "crashes: instance=%s ended while running contents=%s overlapping=%s",
             end.instance,
             ",".join(end.suspects),
             ",".join(end.overlapping),
@@ -160,7 +160,7 @@
     async def _commit_answers(self) -> None:
         for fingerprint in list(self._answered):
             await self._commit(ClearSuspect(fingerprint))
-            log.info("crashes: cleared content=%s, it was answered", fingerprint)
+            log.info("crashes: cleared content=%s after a complete answer", fingerprint)
             self._answered.pop(fingerprint, None)
 
     async def _commit_expiry(self) -> None:
@@ -171,7 +171,7 @@
         )
         if ends or quarantines:
             await self._commit(ForgetCrashes(ends, quarantines))
-            log.info("crashes: forgot instances=%s contents=%s", ends, quarantines)
+            log.info("crashes: dropped instances=%s contents=%s", ends, quarantines)
 
     def _older_than(
         self, seen_ms: dict[str, int], present: Mapping[str, object], age_ms: Callable[[str], int]
--- a/chestnutfall/coordination/__init__.py
+++ b/chestnutfall/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""What the leading controller does for gateways and upstreams."""
+"""Work of the leading controller for gateways and upstreams."""
--- a/chestnutfall/coordination/answer_timer.py
+++ b/chestnutfall/coordination/answer_timer.py
@@ -1,40 +1,42 @@
-"""How long to wait for the answer to an order."""
+"""Adaptive timeout for the answer to an order."""
 
 from __future__ import annotations
 
-FACTOR = 4
-FIRST_MS = 15.0
-"""A round trip between data centres and the engine's work, with a margin, until measured."""
-WEIGHT = 0.1
-"""The usual answer is an average over about ten orders."""
-LEAST_MS = 25.0
-"""An answer that takes four times as long as usual, and longer than a stutter of either process,
-will not come; a second send does no harm, and a longer wait holds up all loads of the engine."""
+TIMEOUT_FACTOR = 4
+INITIAL_ANSWER_MS = 15.0
+"""Assumed answer time before the first answer: a round trip between data centres and the engine's
+processing, with a margin."""
+AVERAGE_WEIGHT = 0.1
+"""The average answer time covers about ten orders."""
+MIN_TIMEOUT_MS = 25.0
+"""After four times the average, and longer than a pause of either process, no answer is expected
+any more. Sending an order again is harmless, but a longer wait holds up all loads of the engine."""
 UNANSWERED_FACTOR = 1.5
-"""What a missing answer counts for, in usual ones: a slower engine is learned of, and even if half
-of the answers are lost the average stays below three usual ones."""
+"""A missing answer counts as this many average ones. The timeout still adapts to an engine that
+becomes slower, and if half of the answers are lost the average stays below three times the usual
+one."""
 
 
 class AnswerTimer:
-    """Learns how long one engine takes to answer."""
+    """Tracks the average answer time of one engine."""
 
     def __init__(self) -> None:
-        self._usual_ms = FIRST_MS
+        self._average_ms = INITIAL_ANSWER_MS
 
     @property
-    def wait_ms(self) -> float:
-        """After this time no answer will come."""
-        return max(FACTOR * self._usual_ms, LEAST_MS)
+    def timeout_ms(self) -> float:
+        """Time to wait for an answer before it counts as lost."""
+        return max(TIMEOUT_FACTOR * self._average_ms, MIN_TIMEOUT_MS)
 
     def answered(self, took_ms: float) -> None:
-        """Take in an answer."""
-        self._usual_ms += WEIGHT * (took_ms - self._usual_ms)
+        """Add an answer to the average."""
+        self._average_ms += AVERAGE_WEIGHT * (took_ms - self._average_ms)
 
     def unanswered(self) -> None:
-        """Take in that none came.
+        """Add a missing answer to the average.
 
-        The time waited for it says nothing of the engine. Counted in full, an engine that leaves
-        a third of its orders unanswered is waited for longer and longer, up to a second, and
-        loads nothing meanwhile.
+        The time spent waiting for it tells nothing about the engine. If it counted in full, the
+        timeout for an engine that leaves a third of its orders unanswered would grow up to a
+        second, and the engine would load nothing meanwhile.
         """
-        self.answered(UNANSWERED_FACTOR * self._usual_ms)
+        self.answered(UNANSWERED_FACTOR * self._average_ms)
--- a/chestnutfall/coordination/controller_run.py
+++ b/chestnutfall/coordination/controller_runner.py
@@ -1,4 +1,4 @@
-"""The life of one controller: its replica, and what it does for the others."""
+"""Life cycle of one controller: its replica, and its services for gateways and upstreams."""
 
 from __future__ import annotations
 
@@ -26,39 +26,52 @@
 from .engine_control import EngineControl
 from .fleet_leader import FleetLeader
 from .group_joiner import GroupJoiner
-from .group_keeper import GroupKeeper
+from .group_manager import GroupManager
+from .leader_relay import METHOD as RELAY_METHOD
+from .leader_relay import LeaderRelay
 from .messages import FLEET_CODEC, FLEET_METHOD
-from .relay_desk import METHOD as RELAY_METHOD
-from .relay_desk import RelayDesk
 from .relay_messages import RELAY_CODEC, Unavailable
 from .session_server import SessionServer
 
 log = logging.getLogger(__name__)
-RESTART_MS = 400
-"""A full or failing disk stays so for seconds; reading it back twice a second is often enough."""
+RESTART_DELAY_MS = 400
+"""A full or failing disk stays so for seconds; reading it again twice a second is often enough."""
 TIMING = Timing(heartbeat_ms=60, election_min_ms=320, election_max_ms=560, call_ms=250)
-"""Controllers are some ms apart and spend under a tenth of a core, so five missed heartbeats mean
-a lost leader. Requests for adapters that no gateway remembers wait that long for the next one."""
+"""Controllers are some ms apart and use less than a tenth of a core, so five missed heartbeats
+indicate a failed leader. Requests for adapters that no gateway remembers wait that long for the
+next leader."""
 SNAPSHOT_EVERY = 500
 KEEP_ENTRIES = 200
-"""Documents of some 30 KB each: 700 entries stay below 25 MB of memory and disk."""
+"""With documents of about 30 KB each, 700 entries stay below 25 MB of memory and disk."""
 
 
-class DeskInUse:
-    """The desk of the replica that runs now; there is none while the disk is read back."""
+class CurrentRelay:
+    """Forwards calls to the relay of the replica that runs now.
+
+    Attributes
+    ----------
+    present : LeaderRelay or None
+        Relay of the running replica; None while storage is read.
+    """
 
     def __init__(self) -> None:
-        self.present: RelayDesk | None = None
+        self.present: LeaderRelay | None = None
 
     async def ask(self, msg: Any) -> Any:
-        """Ask the present desk."""
+        """Forward `msg`; the answer is `Unavailable` while no replica runs."""
         if self.present is None:
             return Unavailable()
         return await self.present.ask(msg)
 
 
-class ControllerRun:
-    """Runs a replica on the host's disk, again and again if the disk fails."""
+class ControllerRunner:
+    """Runs a replica on the host's disk, and restarts it after storage failures.
+
+    Attributes
+    ----------
+    relay : CurrentRelay
+        Entry point for calls from outside.
+    """
 
     def __init__(
         self,
@@ -76,16 +89,16 @@
         self._replica: Replica | None = None
         self._joiner: GroupJoiner | None = None
         self._process_start_ms: int | None = PROCESS_START_MS
-        self.desk = DeskInUse()
+        self.relay = CurrentRelay()
 
     def use_settings(self, settings: FleetSettings) -> None:
-        """Take changed settings."""
+        """Apply changed settings; those of a running replica, except the first addresses, stay."""
         self._settings = settings
         if self._joiner is not None:
             self._joiner.first_addresses = settings.controllers
 
     def refresh_gauges(self) -> None:
-        """Bring the gauges up to date."""
+        """Update the metrics of the replica and of the message traffic."""
         if self._replica is None:
             return
         self._metrics.gauge("leads", self._replica.can_decide())
@@ -97,14 +110,14 @@
                 self._metrics.total(figure, value)
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Take part until `stop`."""
+        """Run the replica until `stop` is set."""
         while not stop.is_set():
             try:
                 await self._run_once(stop)
             except (CorruptFile, OSError) as exc:
                 log.error("storage: %s", exc)
             if not stop.is_set():
-                await self._clock.sleep_ms(RESTART_MS)
+                await self._clock.sleep_ms(RESTART_DELAY_MS)
 
     async def _run_once(self, stop: asyncio.Event) -> None:
         folder = DiskFolder(Path(self._settings.data_folder))
@@ -116,7 +129,7 @@
             folder.close()
 
     async def _identity(self, folder: DiskFolder, storage: FileStorage) -> str:
-        """This disk's identity; an empty disk gets a new one."""
+        """Return the replica identity stored on this disk; an empty disk gets a new one."""
         if storage.is_empty:
             await self._begin(folder, storage)
         return identity_of(folder)
@@ -125,13 +138,13 @@
         own = self._settings.peer_address
         founders = tuple(Member(_founder_id(one), one) for one in self._settings.controllers)
         if self._settings.first_start and any(one.address == own for one in founders):
-            # All founders know the same first addresses, so each can write down the same first
-            # membership without a word to the others.
+            # All founders know the same first addresses, so each can write the same first
+            # membership without communicating.
             await found_group(folder, storage, _founder_id(own), founders)
             log.info("group: founded with %s", [one.address for one in founders])
         else:
             fresh = await begin_anew(folder, storage, self._settings.name)
-            log.info("group: empty disk, joins as %s", fresh)
+            log.info("group: empty disk, joining as %s", fresh)
 
     async def _serve(self, replica_id: str, storage: FileStorage, stop: asyncio.Event) -> None:
         settings, clock = self._settings, self._clock
@@ -160,28 +173,28 @@
             settings.repeats,
             settings.quotas,
         )
-        keeper = GroupKeeper(replica, state, clock, settings.tolerated_losses)
-        desk = RelayDesk(replica, state, leader, keeper, clock)
-        joiner = GroupJoiner(replica, desk, clock, settings.peer_address, settings.controllers)
-        server = _server(settings.peer_address, replica, leader, desk, clock)
+        group = GroupManager(replica, state, clock, settings.tolerated_losses)
+        relay = LeaderRelay(replica, state, leader, group, clock)
+        joiner = GroupJoiner(replica, relay, clock, settings.peer_address, settings.controllers)
+        server = _server(settings.peer_address, replica, leader, relay, clock)
         await server.start()
         log.info("replica: started id=%s index=%d", replica_id, replica.log.last_index)
         work = [
-            asyncio.ensure_future(one.run()) for one in (leader, keeper, joiner, desk.heartbeats)
+            asyncio.ensure_future(one.run()) for one in (leader, group, joiner, relay.heartbeats)
         ]
-        self._replica, self._joiner, self.desk.present = replica, joiner, desk
+        self._replica, self._joiner, self.relay.present = replica, joiner, relay
         try:
             await _first_of(stop, replica.failed)
             if not replica.failed.done():
                 await replica.hand_over()
         finally:
-            self._replica = self._joiner = self.desk.present = None
+            self._replica = self._joiner = self.relay.present = None
             for task in work:
                 task.cancel()
             await asyncio.gather(*work, return_exceptions=True)
             await server.stop(200)
             await replica.stop()
-            await desk.close()
+            await relay.close()
             await transport.close()
         if replica.failed.done():
             log.error("replica: failed id=%s: %r", replica_id, replica.failed.result())
@@ -192,7 +205,7 @@
 
 
 def _server(
-    address: str, replica: Replica, leader: FleetLeader, desk: RelayDesk, clock: Clock
+    address: str, replica: Replica, leader: FleetLeader, relay: LeaderRelay, clock: Clock
 ) -> RpcServer:
     server = RpcServer(address)
 
@@ -200,7 +213,7 @@
         return await replica.handle(msg)
 
     async def on_relay(msg: Any, context: Any) -> Any:
-        return await desk.answer(msg)
+        return await relay.answer(msg)
 
     server.add_unary(CONSENSUS_METHOD, CONSENSUS_CODEC, on_consensus)
     server.add_unary(RELAY_METHOD, RELAY_CODEC, on_relay)
--- a/chestnutfall/coordination/engine_control.py
+++ b/chestnutfall/coordination/engine_control.py
@@ -1,4 +1,4 @@
-"""Port to the engines for orders and reports."""
+"""Interface for orders to engines and reports of engines."""
 
 from __future__ import annotations
 
@@ -10,24 +10,26 @@
 
 
 class OrderResult(Enum):
-    """What an engine made of an order."""
+    """Result of an order to an engine."""
 
     TAKEN = "taken"
-    """It will be carried out: a load is under way, or an adapter is dropped when its runs end."""
+    """The order will be carried out: a load is in progress, or an adapter is dropped when its runs
+    end."""
     IN_EFFECT = "in_effect"
-    """What was ordered is so now: an idle adapter was dropped at once, or the engine held it."""
+    """The ordered state holds now: an idle adapter was dropped at once, or the engine held it
+    already."""
     CONFLICT = "conflict"
-    """Another order is under way, or orders were taken that the sender does not know of."""
+    """Another order is in progress, or the engine took orders that the sender does not know of."""
     FENCED = "fenced"
-    """It saw a newer fencing token."""
+    """The engine saw a newer fencing token."""
     REPLACED = "replaced"
-    """Another incarnation has the address."""
+    """Another incarnation listens at the address."""
     UNKNOWN = "unknown"
-    """No clear answer; it may still be carried out, seconds later."""
+    """No clear answer; the order may still be carried out seconds later."""
 
 
 class EngineControl(ABC):
-    """Orders to engines, each with the fencing token of the holder."""
+    """Sends orders to engines, each with the leader's fencing token, and reads their reports."""
 
     @abstractmethod
     async def order(
@@ -38,17 +40,28 @@
         orders_taken: int,
         within_ms: float,
     ) -> OrderResult:
-        """Give an order that holds only if the engine took exactly `orders_taken` before.
+        """Send an order that is valid only if the engine took exactly `orders_taken` before.
 
-        Without an answer `within_ms` the result is UNKNOWN.
+        Parameters
+        ----------
+        engine : UpstreamRecord
+            Incarnation that gets the order.
+        order : Order
+            What to load or unload.
+        fencing_token : int
+            Token of the leader; engines refuse older ones than they saw.
+        orders_taken : int
+            Number of orders that the engine took so far.
+        within_ms : float
+            Timeout; the result is UNKNOWN if there is no answer in time.
         """
 
     @abstractmethod
     async def report(self, engine: UpstreamRecord) -> EngineReport:
-        """Ask what an engine holds.
+        """Read what an engine holds.
 
         Raises
         ------
         ConnectionError
-            When there is no answer in time, or another incarnation answers.
+            If there is no answer in time, or another incarnation answers.
         """
--- a/chestnutfall/coordination/kind_keeper.py
+++ b/chestnutfall/coordination/engine_kind_recorder.py
@@ -1,4 +1,4 @@
-"""Keeps what was learned of engines over changes of leader."""
+"""Saves measured engine characteristics for the next leader."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from ..placement.placer import Placer
 
 log = logging.getLogger(__name__)
-LOOK_MS = 1_000
-"""Figures settle within seconds and then move seldom; each entry is some hundred bytes."""
+POLL_MS = 1_000
+"""Measurements settle within seconds and then seldom move; each log entry is some hundred bytes."""
 
 
-class KindKeeper:
-    """Commits the figures of a service's engines when they moved.
+class EngineKindRecorder:
+    """Commits the measured characteristics of a service's engines when they changed noticeably.
 
-    A new leader that begins with guesses gives engines too little reading, or too much, for its
-    first seconds. These are just the seconds in which everyone waits.
+    A new leader that starts with default values would give engines too little or too much prefill
+    work in its first seconds, when all requests that waited for the election arrive.
     """
 
     def __init__(self, replica: Replica, state: ControlState, placer: Placer, clock: Clock) -> None:
@@ -29,9 +29,9 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Look again and again, until cancelled."""
+        """Check and commit the measurements periodically, until cancelled."""
         while True:
-            await self._clock.sleep_ms(LOOK_MS)
+            await self._clock.sleep_ms(POLL_MS)
             for service, kind in list(self._placer.kinds.learned(self._placer.engines.values())):
                 known = self._state.engine_kinds.get(service)
                 if known is None or kind.differs_from(known):
@@ -41,7 +41,7 @@
         try:
             await self._replica.propose(COMMAND_CODEC.encode(command))
         except (NotLeader, Busy, LeadershipLost, StorageFailed) as exc:
-            # The next look tries again; without the entry a new leader only learns anew.
-            log.info("kinds: service=%s not kept: %r", command.service, exc)
+            # The next round tries again. Without the entry, a new leader only has to measure again.
+            log.info("kinds: service=%s not committed: %r", command.service, exc)
         else:
-            log.info("kinds: service=%s learned %s", command.service, command.kind)
+            log.info("kinds: service=%s measured %s", command.service, command.kind)
--- a/chestnutfall/coordination/fleet_leader.py
+++ b/chestnutfall/coordination/fleet_leader.py
@@ -1,4 +1,4 @@
-"""One term of leading after another."""
+"""Starts and ends the leader terms of this controller."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from .leader_term import LeaderTerm
 
 log = logging.getLogger(__name__)
-LOOK_MS = 20
-"""How soon a new leader begins to serve; small beside an election."""
+POLL_MS = 20
+"""How soon a new leader begins to serve; short compared with an election."""
 
 
 class FleetLeader:
-    """Starts a `LeaderTerm` whenever this controller leads.
+    """Runs a `LeaderTerm` whenever this controller leads.
 
     Attributes
     ----------
     term : LeaderTerm or None
-        The present one.
+        Current term; None while this controller does not lead.
     """
 
     def __init__(
@@ -56,14 +56,14 @@
             self.term.on_apply(command)
 
     def leading(self) -> LeaderTerm | None:
-        """The present term, if this controller is certain to lead."""
+        """Return the current term if this controller certainly leads, else None."""
         return self.term if self.term is not None and self.term.leads() else None
 
     async def run(self) -> None:
-        """Watch for the beginning of each term, until cancelled."""
+        """Run one term after the other, until cancelled."""
         while True:
             if not self._replica.can_decide():
-                await self._clock.sleep_ms(LOOK_MS)
+                await self._clock.sleep_ms(POLL_MS)
                 continue
             self.term = LeaderTerm(
                 self._replica,
@@ -75,7 +75,7 @@
                 self._repeats,
                 self._quotas,
             )
-            log.info("leader: begins term=%d", self.term.term)
+            log.info("leader: started term=%d", self.term.term)
             try:
                 await self.term.run()
             except (NotLeader, Busy, LeadershipLost, StorageFailed) as exc:
--- a/chestnutfall/coordination/gateway_session.py
+++ b/chestnutfall/coordination/gateway_session.py
@@ -1,4 +1,4 @@
-"""A gateway's stream, as the leader sees it."""
+"""Outgoing side of a gateway's stream to the leader."""
 
 from __future__ import annotations
 
@@ -9,17 +9,21 @@
 
 from ..clock import Clock
 
-BULK_MS = 50
-"""Between two bulky messages of some 16 KB: three fifths of a link of 5 Mbit/s."""
+BULK_INTERVAL_MS = 50
+"""Interval of bulk messages of about 16 KB each, which use three fifths of a link of 5 Mbit/s."""
 
 
 class GatewaySession:
-    """Messages for one gateway, and the tickets it holds.
+    """Queue of messages for one gateway, and the tickets that the gateway holds.
 
     Attributes
     ----------
+    gateway : str
+        Name of the gateway.
     tickets : set of str
-        Requests of this gateway that wait for an engine or hold a place.
+        Requests of this gateway that wait for placement or are placed on an engine.
+    out : asyncio.Queue
+        Messages to send before any bulk message; None ends the stream.
     """
 
     def __init__(self, gateway: str) -> None:
@@ -34,20 +38,20 @@
         self.out.put_nowait(msg)
 
     def send_bulk(self, messages: Iterable[Any]) -> None:
-        """Queue messages that nobody waits for; they go out when nothing else does.
+        """Replace the queued bulk messages, which are sent only while no other message waits.
 
-        Sent like any other, some hundred KB hold up places and pulses behind them on the link of a
-        gateway for half a second, and the gateway takes the leader for dead.
+        Some hundred KB sent like other messages would delay grants and pulses behind them for half
+        a second on a gateway's link, and the gateway would assume that the leader has failed.
         """
         self._bulk = deque(messages)
 
     async def next(self, clock: Clock, within_ms: float) -> Any:
-        """The next message.
+        """Return the next message to send.
 
         Raises
         ------
         TimeoutError
-            When there is none for `within_ms`.
+            If there is none for `within_ms`.
         """
         if not self._bulk:
             return await clock.within_ms(within_ms, self.out.get())
@@ -58,5 +62,5 @@
             except TimeoutError:
                 if clock.now_ms() < self._bulk_due_ms:
                     raise
-        self._bulk_due_ms = clock.now_ms() + BULK_MS
+        self._bulk_due_ms = clock.now_ms() + BULK_INTERVAL_MS
         return self._bulk.popleft()
--- a/chestnutfall/coordination/gateway_sessions.py
+++ b/chestnutfall/coordination/gateway_sessions.py
@@ -1,4 +1,4 @@
-"""All gateways' streams to the leader, and who holds which ticket."""
+"""All gateway streams to the leader, and the holders of tickets."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class GatewaySessions:
-    """Sends to one gateway, to all, or to the one that a ticket belongs to."""
+    """Sends messages to all gateways, or to the gateway that holds a ticket."""
 
     def __init__(self) -> None:
         self._sessions: set[GatewaySession] = set()
@@ -18,40 +18,40 @@
         return len(self._sessions)
 
     def add(self, session: GatewaySession) -> None:
-        """Begin to send to a gateway."""
+        """Start sending to a gateway."""
         self._sessions.add(session)
 
     def remove(self, session: GatewaySession) -> tuple[str, ...]:
-        """Stop sending to a gateway; the tickets that it held."""
+        """Stop sending to a gateway, and return the tickets that it held."""
         self._sessions.discard(session)
         tickets = tuple(session.tickets)
         for ticket in tickets:
-            self.free(ticket)
+            self.release_ticket(ticket)
         return tickets
 
-    def hold(self, ticket: str, session: GatewaySession) -> None:
-        """Note that a ticket belongs to a gateway."""
+    def assign_ticket(self, ticket: str, session: GatewaySession) -> None:
+        """Record that a gateway holds a ticket."""
         session.tickets.add(ticket)
         self._by_ticket[ticket] = session
 
-    def free(self, ticket: str) -> None:
+    def release_ticket(self, ticket: str) -> None:
         """Forget a ticket."""
         session = self._by_ticket.pop(ticket, None)
         if session is not None:
             session.tickets.discard(ticket)
 
-    def tell(self, ticket: str, msg: Any) -> None:
-        """Send to the gateway that holds a ticket, if it is still there."""
+    def send_to_holder(self, ticket: str, msg: Any) -> None:
+        """Send to the gateway that holds a ticket, if it is still connected."""
         session = self._by_ticket.get(ticket)
         if session is not None:
             session.send(msg)
 
-    def tell_all_bulk(self, messages: tuple[Any, ...]) -> None:
-        """Send to every gateway what nobody waits for."""
+    def broadcast_bulk(self, messages: tuple[Any, ...]) -> None:
+        """Queue bulk messages for every gateway."""
         for session in self._sessions:
             session.send_bulk(messages)
 
-    def tell_all(self, *messages: Any) -> None:
+    def broadcast(self, *messages: Any) -> None:
         """Send to every gateway."""
         for session in self._sessions:
             for msg in messages:
--- a/chestnutfall/coordination/group_keeper.py
+++ b/chestnutfall/coordination/group_manager.py
@@ -1,4 +1,4 @@
-"""Who belongs to the group of controllers."""
+"""Membership of the group of controllers."""
 
 from __future__ import annotations
 
@@ -13,23 +13,29 @@
 
 log = logging.getLogger(__name__)
 TICK_MS = 100
-"""Repair takes three steps; at this pace under half a second."""
-JOINER_FRESH_MS = 2_000
-"""A joiner repeats its wish every half second; one that was not heard for this long is gone."""
+"""A repair takes three steps, which at this interval take less than half a second."""
+JOINER_TIMEOUT_MS = 2_000
+"""A joiner repeats its request every half second; without a request for this long it is gone."""
 REPLACE_AFTER_MS = 3_000
-"""A silent voter is replaced when a caught-up learner stands by. One that comes back joins as a
-learner, so a replacement that was not needed costs nothing but two entries."""
+"""A voter that is silent for this long is replaced if a caught-up learner is available. A voter
+that comes back joins as a learner, so an unnecessary replacement costs only two log entries."""
 DROP_LEARNER_AFTER_MS = 30_000
-"""A restart takes seconds; a learner that is gone for longer joins anew."""
+"""A restart takes seconds; a learner that is silent for longer has to join again."""
 SMALL_GROUP_AFTER_MS = 8_000
-"""With too few hosts for the tolerated losses, the group works with those it has after this."""
+"""If there are too few hosts for the tolerated losses, the group starts to work with those that it
+has after this time."""
 
 
-class GroupKeeper:
-    """Adds, promotes and replaces controllers while this one leads.
+class GroupManager:
+    """Adds, promotes, replaces and removes controllers while this one leads.
 
-    The group has 2f + 1 voters, so that any f of them may be lost. Nothing is acknowledged
-    before it had that many once.
+    The group has 2f + 1 voters, so that it tolerates the loss of any f of them. No document or
+    version is acknowledged before the group was complete once.
+
+    Parameters
+    ----------
+    losses : int
+        Number of lost voters to tolerate (f).
     """
 
     def __init__(self, replica: Replica, state: ControlState, clock: Clock, losses: int) -> None:
@@ -40,12 +46,12 @@
         self._joiners: dict[str, tuple[str, int]] = {}
         self._led_since_ms = -1
 
-    def wants_to_join(self, msg: JoinGroup) -> None:
-        """Note a controller that asks to be a member."""
+    def register_joiner(self, msg: JoinGroup) -> None:
+        """Note that a controller asks to be a member."""
         self._joiners[msg.replica_id] = (msg.address, self._clock.now_ms())
 
     async def run(self) -> None:
-        """Keep the group while leading, until cancelled."""
+        """Maintain the membership while this controller leads, until cancelled."""
         while True:
             await self._clock.sleep_ms(TICK_MS)
             if not self._replica.can_decide():
@@ -56,7 +62,7 @@
             try:
                 await self._step()
             except (NotLeader, Busy, LeadershipLost, StorageFailed, ValueError) as exc:
-                log.warning("group: no change: %s", exc)
+                log.warning("group: membership not changed: %s", exc)
 
     async def _step(self) -> None:
         if not self._state.group_complete and self._is_complete():
@@ -70,13 +76,15 @@
     def _is_complete(self) -> bool:
         voters = sum(member.voter for member in self._replica.members)
         led_ms = self._clock.now_ms() - self._led_since_ms
-        return voters >= self._target or (led_ms > SMALL_GROUP_AFTER_MS and not self._fresh())
+        return voters >= self._target or (
+            led_ms > SMALL_GROUP_AFTER_MS and not self._recent_joiners()
+        )
 
     def _next_members(self) -> tuple[Member, ...] | None:
-        """The membership after one step towards the wanted one; None when there is none."""
+        """Return the membership after one step towards the target; None if no step is due."""
         members = self._replica.members
         present = {member.replica_id: member for member in members}
-        for replica_id, address in self._fresh().items():
+        for replica_id, address in self._recent_joiners().items():
             if replica_id not in present:
                 return (*members, Member(replica_id, address, voter=False))
         for member in members:
@@ -93,22 +101,23 @@
             return tuple(one for one in members if one is not silent[0])
         return None
 
-    def _fresh(self) -> dict[str, str]:
+    def _recent_joiners(self) -> dict[str, str]:
         now_ms = self._clock.now_ms()
         return {
             replica_id: address
             for replica_id, (address, heard_ms) in self._joiners.items()
-            if now_ms - heard_ms < JOINER_FRESH_MS
+            if now_ms - heard_ms < JOINER_TIMEOUT_MS
         }
 
     def _is_replaced(self, member: Member, present: dict[str, Member]) -> bool:
-        # A host that lost its disk comes back at its address under a new identity. The old one
-        # can never answer again; while it counts as a voter, one more loss stops every change.
-        for replica_id, address in self._fresh().items():
+        # A host that lost its disk comes back at the same address under a new identity. The old
+        # identity can never answer again; while it counts as a voter, one more loss can stop all
+        # writes.
+        for replica_id, address in self._recent_joiners().items():
             newcomer = present.get(replica_id)
             if newcomer is not None and address == member.address:
                 caught_up = newcomer.voter or self._has_caught_up(newcomer)
-                # Only a leader decides here, and it never removes itself.
+                # Only the leader decides here, and it never removes itself.
                 others = (replica_id, self._replica.replica_id)
                 return caught_up and member.replica_id not in others
         return False
--- a/chestnutfall/coordination/heartbeat_batch.py
+++ b/chestnutfall/coordination/heartbeat_batch.py
@@ -1,4 +1,4 @@
-"""Heartbeats of upstreams that are known, passed on to the leader together."""
+"""Batches of upstream heartbeats that a controller forwards to the leader."""
 
 from __future__ import annotations
 
@@ -11,37 +11,39 @@
 from .relay_messages import Accepted, Announce, Heartbeats
 
 BATCH_MS = 100
-"""Small beside a heartbeat, so that the leader hears of each one as good as at once."""
-IN_TOUCH_MS = 500
-"""A controller whose last batch was taken longer ago may be cut off from the leader."""
-MOST_WAITING = 10_000
-"""Heartbeats of a whole office, several times over; only reached while the leader is missing."""
+"""Short compared with a heartbeat interval, so that the delay does not matter to the leader."""
+LEADER_CONTACT_MS = 500
+"""If the last accepted batch is older than this, the controller may be cut off from the leader."""
+MAX_WAITING = 10_000
+"""Several times the heartbeats of a whole deployment; only reached while there is no leader."""
 
 
 class HeartbeatBatch:
-    """Answers at once for upstreams that say nothing new, and tells the leader soon after.
+    """Collects heartbeats of unchanged upstreams and sends them to the leader together.
 
-    Passed on one by one, each heartbeat costs two controllers a call. Of three thousand upstreams
-    that is 2,500 calls a second to the leader, before the first request is placed.
+    Such a heartbeat is answered at once. If each were forwarded, it would cost two controllers a
+    call: for three thousand upstreams the leader would handle 2,500 calls per second before it
+    places a single request.
     """
 
     def __init__(self, ask_leader: Callable[[Any], Awaitable[Any]], clock: Clock) -> None:
         self._ask_leader = ask_leader
         self._clock = clock
         self._waiting: dict[str, Announce] = {}
-        self._taken_ms = -IN_TOUCH_MS
+        self._accepted_ms = -LEADER_CONTACT_MS
 
-    def takes(self, msg: Announce, roster: UpstreamRoster) -> bool:
-        """Take a heartbeat, unless it must be answered by the leader itself.
+    def try_add(self, msg: Announce, roster: UpstreamRoster) -> bool:
+        """Add a heartbeat to the batch; False if the leader itself has to answer it.
 
-        One that says something new is committed before it is answered. One of a controller that
-        is out of touch would be lost although its upstream was told that it was heard.
+        The leader has to commit an announcement with new information before it is answered. A
+        controller without contact to the leader must not answer either, because the heartbeat would
+        be lost although its upstream got an acknowledgement.
         """
-        is_in_touch = self._clock.now_ms() < self._taken_ms + IN_TOUCH_MS
+        is_in_touch = self._clock.now_ms() < self._accepted_ms + LEADER_CONTACT_MS
         is_known = roster.records.get(msg.record.instance) == msg.record
         if not is_in_touch or not is_known or msg.record.leaving:
             return False
-        if len(self._waiting) >= MOST_WAITING:
+        if len(self._waiting) >= MAX_WAITING:
             return False
         if msg.holds is not None:
             msg = replace(msg, holds=replace(msg.holds, adapters={}))
@@ -49,17 +51,17 @@
         return True
 
     async def run(self) -> None:
-        """Pass on what waits, until cancelled."""
+        """Call `flush` periodically, until cancelled."""
         while True:
             await self._clock.sleep_ms(BATCH_MS)
-            await self.pass_on()
+            await self.flush()
 
-    async def pass_on(self) -> None:
-        """Pass on what waits; an empty batch shows whether the leader can be reached."""
+    async def flush(self) -> None:
+        """Send the batch to the leader; an empty one checks that the leader is reachable."""
         batch, self._waiting = self._waiting, {}
         answer = await self._ask_leader(Heartbeats(tuple(batch.values())))
         if isinstance(answer, Accepted):
-            self._taken_ms = self._clock.now_ms()
+            self._accepted_ms = self._clock.now_ms()
         else:
-            # Newer ones of the same upstream that came meanwhile stay.
+            # Newer heartbeats of the same upstream that were added meanwhile take precedence.
             self._waiting = batch | self._waiting
--- a/chestnutfall/coordination/holdings_diff.py
+++ b/chestnutfall/coordination/holdings_diff.py
@@ -1,4 +1,4 @@
-"""What changed in what engines hold."""
+"""Messages on the adapters that engines hold."""
 
 from __future__ import annotations
 
@@ -7,14 +7,22 @@
 from ..placement import ReadyAdapter
 from .messages import EngineHoldings, HoldingsChange
 
-PART_ENGINES = 128
-"""About 16 KB: a link of 5 Mbit/s carries it in 25 ms, and what is urgent goes in between."""
+ENGINES_PER_PART = 128
+"""About 16 KB: a link of 5 Mbit/s sends this in 25 ms, and urgent messages go in between."""
 
 
 def holdings_change(
     whole: bool, added: Iterable[ReadyAdapter], dropped: Iterable[ReadyAdapter] = ()
 ) -> HoldingsChange:
-    """Group added and dropped adapters by engine and base model."""
+    """Build a message of added and dropped adapters, grouped by engine and base model.
+
+    Parameters
+    ----------
+    whole : bool
+        Whether the message replaces all holdings that were sent before.
+    added, dropped : iterable of Held
+        Adapters; one that is in both counts as added.
+    """
     grouped: dict[tuple[str, str], tuple[dict[str, int], list[str]]] = {}
     for held in added:
         place = held.instance, held.adapter.model
@@ -34,7 +42,7 @@
 
 
 def whole_holdings(held: Iterable[ReadyAdapter]) -> tuple[HoldingsChange, ...]:
-    """All that engines hold, in parts; the first replaces what was told before."""
+    """Return all holdings in parts; the first part replaces what was sent before."""
     engines = holdings_change(True, held).engines
-    starts = range(0, max(len(engines), 1), PART_ENGINES)
-    return tuple(HoldingsChange(at == 0, engines[at : at + PART_ENGINES]) for at in starts)
+    starts = range(0, max(len(engines), 1), ENGINES_PER_PART)
+    return tuple(HoldingsChange(at == 0, engines[at : at + ENGINES_PER_PART]) for at in starts)
--- a/chestnutfall/coordination/relay_desk.py
+++ b/chestnutfall/coordination/leader_relay.py
@@ -1,4 +1,4 @@
-"""Calls from outside, answered by whichever controller leads."""
+"""Forwarding of calls from outside to the leading controller."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ..control.control_state import ControlState
 from ..wire import RpcChannel
 from .fleet_leader import FleetLeader
-from .group_keeper import GroupKeeper
+from .group_manager import GroupManager
 from .heartbeat_batch import HeartbeatBatch
 from .leader_term import LeaderTerm
 from .relay_messages import (
@@ -31,17 +31,17 @@
 
 log = logging.getLogger(__name__)
 METHOD = "Relay"
-RELAY_MS = 800
-"""Callers give up after a second; they learn sooner that they must ask elsewhere."""
+RELAY_TIMEOUT_MS = 800
+"""Callers give up after a second; with this timeout they learn earlier that they have to retry."""
 
 
-class RelayDesk:
-    """Answers on the leader; passes on to it from any other controller.
+class LeaderRelay:
+    """Answers calls on the leader, and forwards them to it from any other controller.
 
     Attributes
     ----------
     heartbeats : HeartbeatBatch
-        Heartbeats that wait to be passed on.
+        Heartbeats that wait to be forwarded.
     """
 
     def __init__(
@@ -49,21 +49,21 @@
         replica: Replica,
         state: ControlState,
         leader: FleetLeader,
-        keeper: GroupKeeper,
+        group: GroupManager,
         clock: Clock,
     ) -> None:
         self._replica = replica
         self._state = state
         self._leader = leader
-        self._keeper = keeper
+        self._group = group
         self._channels: dict[str, RpcChannel] = {}
         self.heartbeats = HeartbeatBatch(self._ask_leader, clock)
 
     async def ask(self, msg: Any) -> Any:
-        """Answer `msg` here if this controller leads, else ask the leader once."""
+        """Answer `msg` here if this controller leads; otherwise ask the leader once."""
         if self._leader.leading() is not None:
             return await self.answer(msg)
-        if isinstance(msg, Announce) and self.heartbeats.takes(msg, self._state.roster):
+        if isinstance(msg, Announce) and self.heartbeats.try_add(msg, self._state.roster):
             return Accepted()
         return await self._ask_leader(msg)
 
@@ -74,31 +74,31 @@
         return await self.ask_at(address, msg) if address else Unavailable()
 
     async def ask_at(self, address: str, msg: Any) -> Any:
-        """Ask the controller at `address`."""
+        """Ask the controller at `address`; a failed call is answered with `Unavailable`."""
         channel = self._channels.get(address)
         if channel is None:
             channel = self._channels[address] = RpcChannel(address, RELAY_CODEC)
         try:
-            return await channel.call(METHOD, msg, RELAY_MS)
+            return await channel.call(METHOD, msg, RELAY_TIMEOUT_MS)
         except ConnectionError as exc:
             log.warning("relay: %s to %s failed: %s", type(msg).__name__, address, exc)
             return Unavailable()
 
     async def answer(self, msg: Any) -> Any:
-        """Answer `msg` on the leader; on any other replica say where to ask."""
+        """Answer `msg` on the leader; any other replica answers with the leader's address."""
         term = self._leader.leading()
         if term is None:
             return Unavailable(self._replica.leader_address())
         try:
             return await self._answer(term, msg)
         except (NotLeader, Busy, LeadershipLost, StorageFailed) as exc:
-            log.warning("relay: %s has no clear outcome: %r", type(msg).__name__, exc)
+            log.warning("relay: outcome of %s is unknown: %r", type(msg).__name__, exc)
             return Unavailable()
 
     async def _answer(self, term: LeaderTerm, msg: Any) -> Any:
         match msg:
             case JoinGroup():
-                self._keeper.wants_to_join(msg)
+                self._group.register_joiner(msg)
                 return Accepted()
             case Announce():
                 await term.announce(msg)
@@ -111,8 +111,8 @@
                 await term.depart(msg)
                 return Accepted()
             case _ if not self._state.group_complete:
-                # With fewer voters than the tolerated losses need, what is acknowledged now
-                # could be lost with them.
+                # With fewer voters than the tolerated losses require, those losses could take a
+                # majority, and with it everything that was acknowledged.
                 return Unavailable()
             case StoreDocument(version, content):
                 return await self._store(version, content)
@@ -133,6 +133,6 @@
         return Accepted()
 
     async def close(self) -> None:
-        """Close every channel."""
+        """Close all channels."""
         for channel in self._channels.values():
             await channel.close()
--- a/chestnutfall/coordination/leader_term.py
+++ b/chestnutfall/coordination/leader_term.py
@@ -1,4 +1,4 @@
-"""What a controller does for gateways and upstreams during one term of leading."""
+"""Work of the leading controller during one leader term."""
 
 from __future__ import annotations
 
@@ -26,15 +26,14 @@
 from ..settings.repeat_bounds import RepeatBounds
 from ..signals.backoff_registry import BackoffRegistry
 from ..signals.messages import HeardBackoff
-from .backoff_desk import BackoffDesk
-from .document_box import unpack
+from .backoff_coordinator import BackoffCoordinator
+from .document_compression import decompress_document
 from .engine_control import EngineControl
-from .engine_desk import EngineDesk, EngineRecord
-from .gateway_news import GatewayNews
+from .engine_kind_recorder import EngineKindRecorder
+from .gateway_broadcaster import GatewayBroadcaster
 from .gateway_session import GatewaySession
 from .gateway_sessions import GatewaySessions
-from .kind_keeper import KindKeeper
-from .limit_desk import LimitDesk
+from .limit_coordinator import LimitCoordinator
 from .messages import (
     AnswerRepeat,
     AskRepeat,
@@ -43,19 +42,29 @@
     Release,
     Withdraw,
 )
+from .order_dispatcher import EngineRecord, OrderDispatcher
 from .relay_messages import Announce, Depart
 from .repeat_pool import RepeatPool
-from .upstream_desk import UpstreamDesk
+from .upstream_tracker import UpstreamTracker
 
 log = logging.getLogger(__name__)
 BUSY_TICK_MS = 8
-"""A request that waits for a load is granted at most this late."""
+"""Longest delay of a grant for a request that waits for a load."""
 IDLE_TICK_MS = 100
-"""Small beside the times in which anything has to be told."""
+"""Short compared with the intervals at which gateways are updated."""
 
 
 class LeaderTerm:
-    """Sessions of gateways, liveness of upstreams, placement and orders."""
+    """Serves gateways and upstreams while this controller leads in one term.
+
+    It owns the gateway sessions, the liveness of upstreams, placement, and the orders to engines. A
+    new term starts with empty state; only what the log holds is kept.
+
+    Attributes
+    ----------
+    term : int
+        Number of the term, which is also the fencing token of orders.
+    """
 
     def __init__(
         self,
@@ -79,52 +88,54 @@
         self._quotas = QuotaLedger(quotas, clock)
         self._crashes = CrashMonitor(replica, state, clock)
         self._sessions = GatewaySessions()
-        self._limits = LimitDesk(limits, backoffs, self._placer, self._sessions, clock)
-        self._backoffs = BackoffDesk(backoffs, self._placer, self._sessions, clock)
-        self._news = GatewayNews(self._sessions, state, self._placer, self._quotas, clock)
+        self._limits = LimitCoordinator(limits, backoffs, self._placer, self._sessions, clock)
+        self._backoffs = BackoffCoordinator(backoffs, self._placer, self._sessions, clock)
+        self._broadcaster = GatewayBroadcaster(
+            self._sessions, state, self._placer, self._quotas, clock
+        )
         self._table: RouteTable | None = None
         self._wake = asyncio.Event()
-        self._engines = EngineDesk(
+        self._engines = OrderDispatcher(
             self._placer, control, clock, self.term, self.leads, self._wake.set
         )
-        self._upstreams = UpstreamDesk(
+        self._upstreams = UpstreamTracker(
             replica,
             state,
             self._crashes,
             clock,
             heartbeat_ms,
-            self._is_named_service,
+            self._is_configured_service,
             self._on_serving,
             self._wake.set,
         )
 
-    # Life
+    # Lifecycle
 
     async def run(self) -> None:
-        """Work until cancelled or the leadership is lost."""
-        self._read_document()
+        """Serve until cancelled or until leadership is lost."""
+        self._load_document()
         for (model, adapter), version in self._state.versions.items():
             self._placer.name_version(AdapterName(model, adapter), version)
         for service, kind in self._state.engine_kinds.items():
             self._placer.kinds.restore(service, kind)
-        keeper = KindKeeper(self._replica, self._state, self._placer, self._clock)
-        keeping = [asyncio.ensure_future(one.run()) for one in (keeper, self._crashes)]
+        recorder = EngineKindRecorder(self._replica, self._state, self._placer, self._clock)
+        tasks = [asyncio.ensure_future(one.run()) for one in (recorder, self._crashes)]
         try:
             while self.leads():
-                self._news.tell_what_is_due()
-                await self._upstreams.look()
+                self._broadcaster.send_due()
+                await self._upstreams.update_if_due()
                 self._carry_out_decisions()
-                await self._until_next_tick()
+                await self._wait_for_tick()
         finally:
-            for task in keeping:
+            for task in tasks:
                 task.cancel()
             self._end()
 
     def leads(self) -> bool:
-        """Whether this controller still is the only leader."""
+        """Whether this controller is still the only leader."""
         return self._replica.term == self.term and self._replica.can_decide()
 
-    async def _until_next_tick(self) -> None:
+    async def _wait_for_tick(self) -> None:
         waiting = self._placer.waiting or self._limits.waiting
         tick_ms = BUSY_TICK_MS if waiting else IDLE_TICK_MS
         tick_ms = min(tick_ms, max(self._upstreams.due_in_ms(), 1))
@@ -134,55 +145,55 @@
 
     def _end(self) -> None:
         self._engines.close()
-        self._sessions.tell_all(NotLeading(""), None)
+        self._sessions.broadcast(NotLeading(""), None)
 
     def on_apply(self, command: Command) -> None:
-        """Take a committed command."""
+        """Process a command after it is applied to the replicated state."""
         match command:
             case PutDocument():
-                self._read_document()
+                self._load_document()
             case NameVersion(model, adapter, version):
                 self._placer.name_version(AdapterName(model, adapter), version)
             case _:
                 pass
         self._wake.set()
 
-    def _read_document(self) -> None:
+    def _load_document(self) -> None:
         held = self._state.document
         known = self._table.document.version if self._table is not None else -1
-        # A document that is sent again, or an older one, changes nothing; reading one of some
-        # thousand routes takes milliseconds in which nothing is placed.
+        # A document that is stored again, or an older one, changes nothing. Decoding one of some
+        # thousand routes takes milliseconds during which no request is placed.
         if held.version > known:
-            self._table = RouteTable(self._codec.decode(unpack(held.content)))
+            self._table = RouteTable(self._codec.decode(decompress_document(held.content)))
             self._quotas.use(self._table.document.organisations)
-            self._upstreams.look_soon()
+            self._upstreams.update_soon()
 
     # Gateways
 
-    def join(self, session: GatewaySession, document_version: int) -> None:
-        """Begin to serve a gateway."""
+    def add_gateway(self, session: GatewaySession, document_version: int) -> None:
+        """Start to serve a gateway that holds `document_version`."""
         self._sessions.add(session)
-        self._news.greet(session, document_version)
-        self._limits.greet(session)
-        self._backoffs.greet(session)
+        self._broadcaster.send_initial_state(session, document_version)
+        self._limits.send_initial_state(session)
+        self._backoffs.send_initial_state(session)
 
-    def part(self, session: GatewaySession) -> None:
-        """End a gateway's session and free what it held."""
+    def remove_gateway(self, session: GatewaySession) -> None:
+        """End a gateway's session and free everything that it held."""
         for ticket in self._sessions.remove(session):
             self._placer.withdraw(ticket)
-        self._limits.part(session)
-        self._backoffs.part(session)
+        self._limits.remove_gateway(session)
+        self._backoffs.remove_gateway(session)
 
-    def take(self, session: GatewaySession, msg: GatewayMessage) -> None:
-        """Take a message of a gateway."""
+    def handle(self, session: GatewaySession, msg: GatewayMessage) -> None:
+        """Process a message of a gateway."""
         match msg:
             case AskRepeat(number, service):
-                # A leader that was cut off may have a successor that gives out repeats too.
+                # A leader that is cut off may have a successor that grants repeats too.
                 given = self.leads() and self._repeats.take(service)
                 session.send(AnswerRepeat(number, given))
                 return
             case AskQuota(number, organisation, units):
-                # One that was cut off gives no answer, and its gateways soon leave it.
+                # A leader that is cut off does not answer, and its gateways soon leave it.
                 if self.leads():
                     session.send(self._quotas.ask(number, organisation, units))
                 return
@@ -192,55 +203,55 @@
             case UsedQuota(uses):
                 for use in uses:
                     self._quotas.charge(use.organisation, use.units)
-                self._news.tell_quotas()
+                self._broadcaster.send_quotas()
                 return
             case HeardLimit():
-                self._limits.hear(session, msg)
+                self._limits.record_limit(session, msg)
             case HeardBackoff():
-                self._backoffs.hear(session, msg)
+                self._backoffs.record_backoff(session, msg)
             case AskTurn():
-                self._limits.ask(session, msg)
+                self._limits.queue_turn(session, msg)
             case BrokenRun() | AnsweredRun():
                 self._crashes.handle_report(msg)
-                self._leave_if_ended(msg)
+                self._note_process_end(msg)
                 return
             case PlaceRequest():
-                self._sessions.hold(msg.ticket, session)
+                self._sessions.assign_ticket(msg.ticket, session)
                 self._placer.submit(msg)
             case Release(ticket, outcome, times):
-                self._take_release(ticket, RunOutcome(outcome), times)
-                self._sessions.free(ticket)
+                self._on_release(ticket, RunOutcome(outcome), times)
+                self._sessions.release_ticket(ticket)
             case Withdraw(ticket):
                 self._placer.withdraw(ticket)
-                self._sessions.free(ticket)
+                self._sessions.release_ticket(ticket)
         self._wake.set()
 
-    def _leave_if_ended(self, report: CrashReport) -> None:
+    def _note_process_end(self, report: CrashReport) -> None:
         if isinstance(report, BrokenRun) and report.refuses:
             self._upstreams.ended(report.instance)
 
-    def _take_release(self, ticket: str, outcome: RunOutcome, times: RunTimes) -> None:
+    def _on_release(self, ticket: str, outcome: RunOutcome, times: RunTimes) -> None:
         instance = self._placer.instance_of(ticket)
         if outcome is RunOutcome.UNREACHABLE:
             self._upstreams.unreachable(instance)
         elif outcome is RunOutcome.DONE and instance:
-            # An engine that is cut off from the controllers, but not from the gateways, serves.
+            # An engine that gateways reach serves, even if it is cut off from the controllers.
             self._upstreams.answered(instance)
         self._placer.release(ticket, outcome, times)
 
     # Upstreams
 
     async def announce(self, msg: Announce) -> None:
-        """Take an announcement; what is new in it is committed first."""
+        """Process an announcement; new information in it is committed first."""
         if await self._upstreams.announce(msg):
             self._note_models(msg)
 
     async def depart(self, msg: Depart) -> None:
-        """Take a departure."""
+        """Process a departure; it is committed first."""
         await self._upstreams.depart(msg)
 
-    def _is_named_service(self, service: str) -> bool:
-        """Whether the document in force names the service; true while there is no document."""
+    def _is_configured_service(self, service: str) -> bool:
+        """Whether the document in force contains the service; True while there is no document."""
         return self._table is None or service in self._table.services
 
     def _note_models(self, msg: Announce) -> None:
@@ -250,12 +261,14 @@
         engine.models = dict(msg.holds.models)
 
     def _on_serving(self, serving: list[UpstreamRecord]) -> None:
-        """Bring placement, orders and gateways to the upstreams that serve now."""
-        self._news.tell_upstreams(serving)
-        self._news.tell_controllers(tuple(member.address for member in self._replica.members))
-        self._engines.match(self._engines_of(serving))
-        self._limits.use(serving)
-        self._backoffs.use(serving)
+        """Update gateways, placement and orders to the upstreams that serve now."""
+        self._broadcaster.send_upstreams(serving)
+        self._broadcaster.send_controllers(
+            tuple(member.address for member in self._replica.members)
+        )
+        self._engines.set_engines(self._engines_of(serving))
+        self._limits.set_serving(serving)
+        self._backoffs.set_serving(serving)
 
     def _engines_of(self, serving: list[UpstreamRecord]) -> Iterator[EngineRecord]:
         for record in serving:
@@ -268,17 +281,17 @@
     def _carry_out_decisions(self) -> None:
         for decision in self._placer.decide():
             self._carry_out(decision)
-        self._limits.carry_out()
-        self._backoffs.carry_out()
+        self._limits.send_due()
+        self._backoffs.send_due()
         self._engines.resync()
 
     def _carry_out(self, decision: Decision) -> None:
         match decision:
             case Grant(ticket):
-                self._sessions.tell(ticket, decision)
+                self._sessions.send_to_holder(ticket, decision)
             case Reject(ticket, reason):
                 log.info("place: ticket=%s rejected reason=%s", ticket, reason)
-                self._sessions.tell(ticket, decision)
-                self._sessions.free(ticket)
+                self._sessions.send_to_holder(ticket, decision)
+                self._sessions.release_ticket(ticket)
             case order:
-                self._engines.give(order)
+                self._engines.submit(order)
--- a/chestnutfall/coordination/messages.py
+++ b/chestnutfall/coordination/messages.py
@@ -15,13 +15,22 @@
 
 FLEET_METHOD = "Fleet"
 PULSE_MS = 150
-"""A gateway takes a stream that is silent three times as long for dead. By then a successor of a
-leader that froze or was cut off is elected, so requests don't wait for both in a row."""
+"""Interval of pulses. A gateway assumes that the leader has failed after three times this without
+any message. By then a successor of a frozen or cut-off leader is elected, so requests don't wait
+for the detection and then for the election."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayHello:
-    """The first message of a gateway's stream: who it is and which document it holds."""
+    """First message of a gateway's stream.
+
+    Attributes
+    ----------
+    gateway : str
+        Name of the gateway.
+    document_version : int
+        Version of the document that the gateway holds.
+    """
 
     gateway: str
     document_version: int
@@ -29,14 +38,28 @@
 
 @dataclass(frozen=True, slots=True)
 class NotLeading:
-    """This controller can't serve the stream; `leader` is an address, or empty if unknown."""
+    """This controller can't serve the stream.
+
+    Attributes
+    ----------
+    leader : str
+        Address of the leader; empty if unknown.
+    """
 
     leader: str
 
 
 @dataclass(frozen=True, slots=True)
 class PutInForce:
-    """A configuration document, compressed as the log holds it."""
+    """A configuration document that the gateway has to put in force.
+
+    Attributes
+    ----------
+    version : int
+        Version of the document.
+    content : bytes
+        The document, compressed.
+    """
 
     version: int
     content: bytes
@@ -44,14 +67,17 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamsPart:
-    """A part of all upstreams that take work, compressed.
+    """Part of the list of all serving upstreams.
 
     Attributes
     ----------
+    content : bytes
+        Compressed records.
     begins : bool
-        Whether it is the first part; what was told before holds until the last one is there.
+        Whether this is the first part. The previous list stays in use until the last part has
+        arrived.
     complete : bool
-        Whether it is the last part.
+        Whether this is the last part.
     """
 
     content: bytes
@@ -61,16 +87,16 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamsChange:
-    """Upstreams that take work since the last word, and those that don't any more.
+    """Change of the serving upstreams since the previous message.
 
     Attributes
     ----------
     added : tuple of UpstreamRecord
-        New ones, and new records of known ones.
+        New upstreams, and new records of known ones.
     dropped : tuple of str
-        Instances.
+        Instances that no longer serve.
     content : bytes
-        In place of `added`, many records compressed; empty where there are few.
+        Compressed records in place of `added` if there are many; otherwise empty.
     """
 
     added: tuple[UpstreamRecord, ...]
@@ -87,16 +113,27 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayCount:
-    """How many gateways have a stream to the leader."""
+    """Number of gateways that have a stream to the leader."""
 
     gateways: int
 
 
 @dataclass(frozen=True, slots=True)
 class EngineHoldings:
-    """What changed on one engine and base model: versions by adapter added, adapters dropped.
+    """Change of the adapters that one engine holds for one base model.
+
+    Grouped by engine and model, because their names would otherwise be most of the traffic.
 
-    Grouped, since names of engines and models would be most of what goes to every gateway.
+    Attributes
+    ----------
+    instance : str
+        Incarnation of the engine.
+    model : str
+        Base model.
+    added : dict of str to int
+        Versions by added adapter.
+    dropped : tuple of str
+        Dropped adapters.
     """
 
     instance: str
@@ -107,7 +144,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldingsChange:
-    """What engines hold, as far as it changed; `whole` if it replaces all that was told."""
+    """Change of the adapters that engines hold.
+
+    Attributes
+    ----------
+    whole : bool
+        Whether the message replaces all holdings that were sent before.
+    engines : tuple of EngineHoldings
+        Changes by engine and base model.
+    """
 
     whole: bool
     engines: tuple[EngineHoldings, ...]
@@ -115,12 +160,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Pulse:
-    """Nothing is new; the sender is there and, from the controller, still leads."""
+    """Keeps a stream alive while there is nothing else to send.
+
+    From the controller, it also confirms that the sender still leads.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """A placed request ended; `outcome` is a value of RunOutcome."""
+    """A placed request ended.
+
+    Attributes
+    ----------
+    ticket : str
+        The request.
+    outcome : str
+        Value of a `RunOutcome`.
+    times : RunTimes
+        Measured times of the run.
+    """
 
     ticket: str
     outcome: str
@@ -129,19 +187,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """A request is not wanted any more."""
+    """A request is no longer wanted."""
 
     ticket: str
 
 
 @dataclass(frozen=True, slots=True)
 class AskRepeat:
-    """A gateway whose own share is spent asks for one repeat for a service.
+    """A gateway that has used its own share of repeats asks for one more for a service.
 
     Attributes
     ----------
     number : int
-        Names the question in its answer.
+        Identifies the question in its answer.
+    service : str
+        Service that the request would be sent to again.
     """
 
     number: int
@@ -150,7 +210,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerRepeat:
-    """Whether the leader gives the repeat that question `number` asks for."""
+    """Answer to an `AskRepeat`.
+
+    Attributes
+    ----------
+    number : int
+        Number of the question.
+    given : bool
+        Whether the repeat is granted.
+    """
 
     number: int
     given: bool
@@ -170,7 +238,7 @@
     | BrokenRun
     | AnsweredRun
 )
-"""What a gateway sends after its first message."""
+"""Messages that a gateway sends after its first one."""
 
 FLEET_CODEC = Codec(
     AnsweredRun,
--- a/chestnutfall/coordination/engine_desk.py
+++ b/chestnutfall/coordination/order_dispatcher.py
@@ -1,4 +1,4 @@
-"""The engines that this controller orders for during one term."""
+"""Orders to all serving engines, during one leader term."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineRecord:
-    """An engine that serves, and what its service says of it."""
+    """A serving engine and the engine specification of its service."""
 
     record: UpstreamRecord
     spec: EngineSpec
 
 
-class EngineDesk:
-    """One task of orders for each engine, as engines come and go."""
+class OrderDispatcher:
+    """Runs one `EngineOrders` task per serving engine."""
 
     def __init__(
         self,
@@ -43,8 +43,8 @@
         self._on_change = on_change
         self._orders: dict[str, tuple[EngineOrders, asyncio.Task[None]]] = {}
 
-    def match(self, engines: Iterable[EngineRecord]) -> None:
-        """Bring placement and tasks to the engines that serve now."""
+    def set_engines(self, engines: Iterable[EngineRecord]) -> None:
+        """Update placement and the tasks to the engines that serve now."""
         wanted = {engine.record.instance: engine for engine in engines}
         for instance in set(self._orders) - set(wanted):
             self._orders.pop(instance)[1].cancel()
@@ -67,20 +67,20 @@
         )
         self._orders[record.instance] = (orders, asyncio.ensure_future(orders.run()))
 
-    def give(self, order: Order) -> None:
-        """Queue an order; one for an engine that just left has failed."""
+    def submit(self, order: Order) -> None:
+        """Queue an order; it fails at once if its engine no longer serves."""
         if order.instance in self._orders:
-            self._orders[order.instance][0].give(order)
+            self._orders[order.instance][0].submit(order)
         else:
             self._placer.order_failed(order)
 
     def resync(self) -> None:
-        """Have reports read where placement is not sure of an engine's contents."""
+        """Read the reports of the engines whose contents placement is not certain of."""
         for instance in self._placer.unsynced():
             if instance in self._orders:
                 self._orders[instance][0].resync()
 
     def close(self) -> None:
-        """End every task; nothing more is ordered under this term."""
+        """Cancel all tasks; no more orders are sent in this term."""
         for _, task in self._orders.values():
             task.cancel()
--- a/chestnutfall/coordination/relay_messages.py
+++ b/chestnutfall/coordination/relay_messages.py
@@ -1,4 +1,4 @@
-"""The closed union of calls that any controller passes on to the leading one."""
+"""The closed union of calls that any controller forwards to the leader."""
 
 from __future__ import annotations
 
@@ -11,7 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreDocument:
-    """An operator's document, compressed."""
+    """Store an operator's document and put it in force.
+
+    Attributes
+    ----------
+    version : int
+        Version of the document.
+    content : bytes
+        The document, compressed.
+    """
 
     version: int
     content: bytes
@@ -24,7 +32,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldDocument:
-    """The document in force, compressed; version -1 when there is none."""
+    """The document in force.
+
+    Attributes
+    ----------
+    version : int
+        Version of the document; -1 if there is none.
+    content : bytes
+        The document, compressed.
+    """
 
     version: int
     content: bytes
@@ -32,14 +48,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """An upstream is there.
+    """An upstream announces itself; also serves as its heartbeat.
 
     Attributes
     ----------
+    record : UpstreamRecord
+        The upstream.
     number : int
-        Counts the announcements of this incarnation, so that a late one is known.
+        Sequence number of the announcements of this incarnation, by which a delayed one is
+        recognised.
     holds : EngineReport or None
-        What an engine holds; None for plain services.
+        What an engine holds; None for plain upstreams.
     """
 
     record: UpstreamRecord
@@ -49,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeats:
-    """Announcements of upstreams that are known and say nothing new."""
+    """Announcements of known upstreams without new information."""
 
     announcements: tuple[Announce, ...]
 
@@ -61,9 +80,9 @@
     Attributes
     ----------
     name : str
-        Name that it announced.
+        Announced name of the upstream.
     started_ms : int
-        Unix time of the start that leaves; 0 where it tells none.
+        Start time of the incarnation that leaves, in ms since 1970; 0 if it reports none.
     """
 
     name: str
@@ -72,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreVersion:
-    """A new version of an adapter, or of a base model if `adapter` is empty, is named."""
+    """Require a new version of an adapter, or of a base model if `adapter` is empty."""
 
     model: str
     adapter: str
@@ -81,7 +100,15 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinGroup:
-    """A controller that is no member yet, or was removed, wants to be one."""
+    """A controller that is not a member, or was removed, asks to join the group.
+
+    Attributes
+    ----------
+    replica_id : str
+        Identity of its replica.
+    address : str
+        IP and port for other controllers.
+    """
 
     replica_id: str
     address: str
@@ -89,19 +116,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """It is in the log of a majority."""
+    """The call was accepted; a change that it made is committed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """It is refused for good, for this reason."""
+    """The call was refused for good."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """Nothing is known of the outcome, or nothing was done; ask again, at `leader` if it is set."""
+    """Nothing was done, or the outcome is unknown; the sender may try again.
+
+    Attributes
+    ----------
+    leader : str
+        Address of the controller to ask next; empty if unknown.
+    """
 
     leader: str = ""
 
--- a/chestnutfall/coordination/session_server.py
+++ b/chestnutfall/coordination/session_server.py
@@ -1,4 +1,4 @@
-"""The controller's side of a gateway's stream."""
+"""The controller's side of gateway streams."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SessionServer:
-    """Serves each gateway's stream by one task."""
+    """Serves each gateway's stream in its own task."""
 
     def __init__(self, replica: Replica, leader: FleetLeader, clock: Clock) -> None:
         self._replica = replica
@@ -22,35 +22,35 @@
         self._clock = clock
 
     async def serve(self, messages: AsyncIterator[Any], context: Any) -> AsyncIterator[Any]:
-        """Answer one stream until either side ends it or the leadership is lost."""
+        """Serve one stream until either side ends it or leadership is lost."""
         hello = await anext(messages)
         term = self._leader.leading()
         if term is None or not isinstance(hello, GatewayHello):
             yield NotLeading(self._replica.leader_address())
             return
         session = GatewaySession(hello.gateway)
-        term.join(session, hello.document_version)
+        term.add_gateway(session, hello.document_version)
         reader = asyncio.ensure_future(self._read(messages, term, session))
         try:
             while True:
                 try:
                     msg = await session.next(self._clock, PULSE_MS)
                 except TimeoutError:
-                    # A leader that was cut off must not keep its gateways: they would miss
-                    # changes that the others accept.
+                    # A leader that is cut off must release its gateways; otherwise they miss
+                    # changes that the next leader accepts.
                     msg = Pulse() if term.leads() else None
                 if msg is None:
                     return
                 yield msg
         finally:
             reader.cancel()
-            term.part(session)
+            term.remove_gateway(session)
 
     @staticmethod
     async def _read(messages: AsyncIterator[Any], term: Any, session: GatewaySession) -> None:
         try:
             async for msg in messages:
                 if isinstance(msg, GatewayMessage):
-                    term.take(session, msg)
+                    term.handle(session, msg)
         finally:
             session.send(None)
--- a/chestnutfall/coordination/upstream_views.py
+++ b/chestnutfall/coordination/upstream_views.py
@@ -1,4 +1,4 @@
-"""Which upstreams serve, as gateways are told: all of them once, and then what changed."""
+"""The list of serving upstreams as sent to gateways: once as a whole, then as changes."""
 
 from __future__ import annotations
 
@@ -7,47 +7,49 @@
 import msgspec
 
 from ..control.upstream_record import UpstreamRecord
-from .document_box import pack, unpack
+from .document_compression import compress_document, decompress_document
 from .messages import UpstreamsChange, UpstreamsPart
 
-PART_RECORDS = 500
-"""About 15 KB compressed: a link of 5 Mbit/s carries it in 25 ms, and a pulse fits in between."""
-FEW_RECORDS = 16
-"""Fewer are smaller as they are than the time is worth that compressing them takes."""
+RECORDS_PER_PART = 500
+"""About 15 KB compressed: a link of 5 Mbit/s sends this in 25 ms, and a pulse fits in between."""
+MAX_PLAIN_RECORDS = 16
+"""Up to this many records are not worth the time that compression takes."""
 REBASE_CHANGES = 64
-"""A gateway that joins is sent at most this many changes after the whole view, and as many records.
-It serves when the view is whole, and would refuse calls for upstreams that it is told of later."""
-MOST_CHANGES = 1_024
-"""Changes that are kept while no gateway joins; without a bound a long term would keep them all."""
+"""A gateway that connects gets at most this many changes, and records in them, after the whole
+list. It starts to serve when the list is complete, and would refuse calls for upstreams that come
+later."""
+MAX_CHANGES = 1_024
+"""Changes kept while no gateway connects; without a bound they would grow throughout a long
+term."""
 _DECODER = msgspec.msgpack.Decoder(tuple[UpstreamRecord, ...])
 
 
-def part_of(records: Iterable[UpstreamRecord], begins: bool, complete: bool) -> UpstreamsPart:
-    """Compress a part of a whole view."""
+def compress_part(records: Iterable[UpstreamRecord], begins: bool, complete: bool) -> UpstreamsPart:
+    """Build a message with a part of the whole list."""
     return UpstreamsPart(_packed(records), begins, complete)
 
 
-def records_in(part: UpstreamsPart) -> tuple[UpstreamRecord, ...]:
-    """The records of a part."""
-    return _DECODER.decode(unpack(part.content))
+def part_records(part: UpstreamsPart) -> tuple[UpstreamRecord, ...]:
+    """Return the records of a part."""
+    return _DECODER.decode(decompress_document(part.content))
 
 
 class UpstreamViews:
-    """The view that all gateways hold, and what a new one must be sent to hold it too.
+    """The list that all gateways hold, and the messages that bring a new gateway to it.
 
-    Sent whole to every gateway at each change, it grows with gateways times upstreams times
-    changes, and at a hundred gateways before a thousand upstreams it fills their links: the
-    leader's pulses come late, gateways leave it, and each that comes back is sent it again.
+    If the whole list were sent at each change, traffic would grow with gateways times upstreams
+    times changes. With a hundred gateways and a thousand upstreams it would fill the links: pulses
+    of the leader come late, gateways leave it, and each one that comes back is sent the list again.
     """
 
     def __init__(self) -> None:
         self._held: dict[str, UpstreamRecord] = {}
-        self._parts: tuple[UpstreamsPart, ...] = (part_of((), True, True),)
+        self._parts: tuple[UpstreamsPart, ...] = (compress_part((), True, True),)
         self._since: list[UpstreamsChange] = []
         self._records_since = 0
 
     def change_to(self, serving: Iterable[UpstreamRecord]) -> Iterator[UpstreamsChange]:
-        """Take over the upstreams that serve now; yield what gateways must be told."""
+        """Set the upstreams that serve now, and yield the change to send to gateways, if any."""
         now = {one.instance: one for one in serving}
         dropped = tuple(instance for instance in self._held if instance not in now)
         added = tuple(one for one in now.values() if self._held.get(one.instance) != one)
@@ -57,12 +59,12 @@
         change = _change(added, dropped)
         self._since.append(change)
         self._records_since += len(added)
-        if len(self._since) > MOST_CHANGES:
+        if len(self._since) > MAX_CHANGES:
             self._rebase()
         yield change
 
     def whole(self) -> Iterator[UpstreamsPart | UpstreamsChange]:
-        """Yield what a gateway must be sent that knows nothing."""
+        """Yield the messages for a gateway that holds no list."""
         if max(len(self._since), self._records_since) > REBASE_CHANGES:
             self._rebase()
         yield from self._parts
@@ -70,26 +72,27 @@
 
     def _rebase(self) -> None:
         records = tuple(self._held.values())
-        starts = range(0, max(len(records), 1), PART_RECORDS)
+        starts = range(0, max(len(records), 1), RECORDS_PER_PART)
         self._parts = tuple(
-            part_of(records[at : at + PART_RECORDS], at == 0, at == starts[-1]) for at in starts
+            compress_part(records[at : at + RECORDS_PER_PART], at == 0, at == starts[-1])
+            for at in starts
         )
         self._since.clear()
         self._records_since = 0
 
 
 def _change(added: tuple[UpstreamRecord, ...], dropped: tuple[str, ...]) -> UpstreamsChange:
-    if len(added) <= FEW_RECORDS:
+    if len(added) <= MAX_PLAIN_RECORDS:
         return UpstreamsChange(added, dropped)
     return UpstreamsChange((), dropped, _packed(added))
 
 
-def added_by(change: UpstreamsChange) -> tuple[UpstreamRecord, ...]:
-    """The records that a change adds."""
+def added_records(change: UpstreamsChange) -> tuple[UpstreamRecord, ...]:
+    """Return the records that a change adds."""
     if not change.content:
         return change.added
-    return _DECODER.decode(unpack(change.content))
+    return _DECODER.decode(decompress_document(change.content))
 
 
 def _packed(records: Iterable[UpstreamRecord]) -> bytes:
-    return pack(msgspec.msgpack.encode(tuple(records)))
+    return compress_document(msgspec.msgpack.encode(tuple(records)))
--- a/chestnutfall/forwarding/fleet_knowledge.py
+++ b/chestnutfall/forwarding/fleet_knowledge.py
@@ -9,7 +9,7 @@
 
 from ..clock import Clock
 from ..control.upstream_record import UpstreamRecord
-from ..coordination.document_box import unpack
+from ..coordination.document_compression import decompress_document
 from ..coordination.messages import (
     Controllers,
     GatewayCount,
@@ -95,6 +95,6 @@
                 self._holders.apply(update)
 
     def _put_in_force(self, version: int, content: bytes) -> None:
-        self.table = RouteTable(self._codec.decode(unpack(content)))
+        self.table = RouteTable(self._codec.decode(decompress_document(content)))
         self._has_table.set()
         log.info("document: in force version=%d", version)
--- a/chestnutfall/forwarding/known_upstreams.py
+++ b/chestnutfall/forwarding/known_upstreams.py
@@ -6,7 +6,7 @@
 
 from ..control.upstream_record import UpstreamRecord
 from ..coordination.messages import UpstreamsChange, UpstreamsPart
-from ..coordination.upstream_views import added_by, records_in
+from ..coordination.upstream_views import added_records, part_records
 
 
 class KnownUpstreams:
@@ -43,12 +43,12 @@
             case UpstreamsPart(begins=begins, complete=complete):
                 if begins:
                     self._incoming = {}
-                self._incoming.update((one.instance, one) for one in records_in(update))
+                self._incoming.update((one.instance, one) for one in part_records(update))
                 if not complete:
                     return
                 self._current, self._incoming = self._incoming, {}
             case UpstreamsChange(dropped=dropped):
                 for instance in dropped:
                     self._current.pop(instance, None)
-                self._current.update((one.instance, one) for one in added_by(update))
+                self._current.update((one.instance, one) for one in added_records(update))
         self._by_service = None
--- a/chestnutfall/forwarding/shared_retry_budget.py
+++ b/chestnutfall/forwarding/shared_retry_budget.py
@@ -5,7 +5,7 @@
 import random
 
 from ..clock import Clock, SlidingWindow
-from ..coordination.repeat_pool import POOL_PART, SAFETY
+from ..coordination.repeat_pool import POOL_SHARE, SAFETY_FACTOR
 from ..settings.repeat_bounds import RepeatBounds
 
 
@@ -41,9 +41,9 @@
         """
         now_ms = self._clock.now_ms()
         requests = self._requests.count(now_ms)
-        slack = (1 - POOL_PART) * self._bounds.slack / max(gateways, 1)
+        slack = (1 - POOL_SHARE) * self._bounds.slack / max(gateways, 1)
         own = slack + self._bounds.ratio * requests
-        if self._repeats.count(now_ms) + 1 > SAFETY * own + self._rounding_offset:
+        if self._repeats.count(now_ms) + 1 > SAFETY_FACTOR * own + self._rounding_offset:
             return False
         self._repeats.note(now_ms)
         return True
--- a/chestnutfall/placement/engine_selector.py
+++ b/chestnutfall/placement/engine_selector.py
@@ -31,7 +31,7 @@
 for. A request may wait this much longer for an engine that has a copy of the adapter."""
 RELOAD_HORIZON_S = 3.0
 """An evicted adapter is charged for the loads that it is expected to need within this time."""
-RELAY_MS = 20.0
+RELAY_TIMEOUT_MS = 20.0
 """From a grant at the leader to the engine, and from there to the caller, on a busy gateway."""
 WAIT_MARGIN_MS = 40.0
 """Time reserved for placing a request elsewhere after it waited in vain for an engine with a copy.
@@ -104,7 +104,7 @@
         self._load_options: dict[str, _LoadOption] | None = None
         self._available: set[AdapterName] | None = None
         schedules = [one.prefill for one in self._engines]
-        self._first_ms = RELAY_MS + min((one.first_ms for one in schedules), default=0.0)
+        self._first_ms = RELAY_TIMEOUT_MS + min((one.first_ms for one in schedules), default=0.0)
         self._ms_per_token = min((one.ms_per_token for one in schedules), default=0.0)
         loads = (one.load_time.expected_ms(from_copy=False) for one in self._engines)
         self._load_ms = min(loads, default=0.0)
--- a/chestnutfall/platform/control_server.py
+++ b/chestnutfall/platform/control_server.py
@@ -8,8 +8,8 @@
 
 from aiohttp import web
 
-from ..coordination.controller_run import DeskInUse
-from ..coordination.document_box import pack, unpack
+from ..coordination.controller_runner import CurrentRelay
+from ..coordination.document_compression import compress_document, decompress_document
 from ..coordination.relay_messages import (
     Accepted,
     HeldDocument,
@@ -38,7 +38,7 @@
 class ControlServer:
     """Translates each HTTP call to a message for the desk, and its answer back."""
 
-    def __init__(self, desk: DeskInUse, codec: DocumentCodec) -> None:
+    def __init__(self, desk: CurrentRelay, codec: DocumentCodec) -> None:
         self._desk = desk
         self._codec = codec
         self._runner: web.ServerRunner | None = None
@@ -89,7 +89,9 @@
         if findings:
             log.info("document: refused %s", "; ".join(map(str, findings[:5])))
             return web.json_response({"findings": [str(one) for one in findings]}, status=400)
-        return _plain(await self._desk.ask(StoreDocument(document.version, pack(body))))
+        return _plain(
+            await self._desk.ask(StoreDocument(document.version, compress_document(body)))
+        )
 
     def _heard(self, answer: Any) -> web.Response:
         # It stays here while it is answered here. Spread anew with each heartbeat, thousands of
@@ -102,7 +104,9 @@
     def _document(answer: Any) -> web.Response:
         match answer:
             case HeldDocument(version, content) if version >= 0:
-                return web.Response(body=unpack(content), content_type="application/json")
+                return web.Response(
+                    body=decompress_document(content), content_type="application/json"
+                )
             case _:
                 return web.json_response({"error": "not known"}, status=503)
 
--- a/chestnutfall/platform/controller.py
+++ b/chestnutfall/platform/controller.py
@@ -7,7 +7,7 @@
 import signal
 
 from ..clock import SystemClock
-from ..coordination.controller_run import ControllerRun
+from ..coordination.controller_runner import ControllerRunner
 from ..observability.histograms import Histograms
 from ..observability.json_logs import start_logs
 from ..observability.stdout_logs import StdoutHandler
@@ -35,8 +35,8 @@
     start_logs("INFO", "controller", settings.name, StdoutHandler(clock, metrics))
     codec = DocumentJson()
     engines = EngineHttp(settings.name)
-    controller = ControllerRun(settings, codec, engines, clock, metrics)
-    server = ControlServer(controller.desk, codec)
+    controller = ControllerRunner(settings, codec, engines, clock, metrics)
+    server = ControlServer(controller.relay, codec)
     watch = SettingsWatch(settings, clock, controller.use_settings)
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, watch.look)
     tasks = [asyncio.ensure_future(controller.run(stop)), asyncio.ensure_future(watch.run())]
--- a/chestnutfall/tests/fakes/placing_leader.py
+++ b/chestnutfall/tests/fakes/placing_leader.py
@@ -7,10 +7,10 @@
 
 from ...clock import Clock
 from ...control.upstream_record import UpstreamRecord
-from ...coordination.backoff_desk import BackoffDesk
+from ...coordination.backoff_coordinator import BackoffCoordinator
 from ...coordination.gateway_session import GatewaySession
 from ...coordination.gateway_sessions import GatewaySessions
-from ...coordination.limit_desk import LimitDesk
+from ...coordination.limit_coordinator import LimitCoordinator
 from ...coordination.messages import AnswerRepeat, AskRepeat, Release, Withdraw
 from ...limits.limit_registry import LimitRegistry
 from ...limits.messages import AskTurn, HeardLimit
@@ -53,8 +53,8 @@
         book, backoffs = LimitRegistry(clock), BackoffRegistry(clock)
         self._sessions = GatewaySessions()
         self.placer = Placer(clock, book, backoffs)
-        self._limits = LimitDesk(book, backoffs, self.placer, self._sessions, clock)
-        self._backoffs = BackoffDesk(backoffs, self.placer, self._sessions, clock)
+        self._limits = LimitCoordinator(book, backoffs, self.placer, self._sessions, clock)
+        self._backoffs = BackoffCoordinator(backoffs, self.placer, self._sessions, clock)
         self._by_gateway: dict[str, GatewaySession] = {}
         self.see()
 
@@ -67,8 +67,8 @@
         for one in upstreams:
             if one.record.service == ENGINES and one.record.instance not in self.placer.engines:
                 self._begin(one.record, one)
-        self._limits.use(records)
-        self._backoffs.use(records)
+        self._limits.set_serving(records)
+        self._backoffs.set_serving(records)
 
     def _begin(self, record: UpstreamRecord, engine: SignallingUpstream) -> None:
         self.placer.engine_up(record.instance, record.service, "dc", SPEC)
@@ -79,8 +79,8 @@
         """Begin to serve a gateway."""
         self._by_gateway[name] = session = GatewaySession(name)
         self._sessions.add(session)
-        self._limits.greet(session)
-        self._backoffs.greet(session)
+        self._limits.send_initial_state(session)
+        self._backoffs.send_initial_state(session)
 
     def part(self, name: str) -> None:
         """End a gateway's session."""
@@ -88,47 +88,47 @@
         if session is not None:
             for ticket in self._sessions.remove(session):
                 self.placer.withdraw(ticket)
-            self._limits.part(session)
-            self._backoffs.part(session)
+            self._limits.remove_gateway(session)
+            self._backoffs.remove_gateway(session)
 
     def take(self, name: str, msg: Any) -> None:
         """Take a message of a gateway."""
         session = self._by_gateway[name]
         match msg:
             case HeardLimit():
-                self._limits.hear(session, msg)
+                self._limits.record_limit(session, msg)
             case HeardBackoff():
-                self._backoffs.hear(session, msg)
+                self._backoffs.record_backoff(session, msg)
             case AskTurn():
-                self._limits.ask(session, msg)
+                self._limits.queue_turn(session, msg)
             case AskRepeat(number):
                 session.send(AnswerRepeat(number, False))
             case PlaceRequest():
-                self._sessions.hold(msg.ticket, session)
+                self._sessions.assign_ticket(msg.ticket, session)
                 self.placer.submit(msg)
             case Release(ticket, outcome, times):
                 self.placer.release(ticket, RunOutcome(outcome), times)
-                self._sessions.free(ticket)
+                self._sessions.release_ticket(ticket)
             case Withdraw(ticket):
                 self.placer.withdraw(ticket)
-                self._sessions.free(ticket)
+                self._sessions.release_ticket(ticket)
 
     def decide(self) -> None:
         """Carry out what is due."""
         for decision in self.placer.decide():
             match decision:
                 case Grant(ticket):
-                    self._sessions.tell(ticket, decision)
+                    self._sessions.send_to_holder(ticket, decision)
                 case Reject(ticket):
-                    self._sessions.tell(ticket, decision)
-                    self._sessions.free(ticket)
+                    self._sessions.send_to_holder(ticket, decision)
+                    self._sessions.release_ticket(ticket)
                 case LoadAdapter():
                     self.placer.order_taken(decision)
                     self._on_order(decision)
                 case UnloadAdapter() | LoadModel():
                     self._on_order(decision)
-        self._limits.carry_out()
-        self._backoffs.carry_out()
+        self._limits.send_due()
+        self._backoffs.send_due()
 
     def has_news(self, name: str) -> bool:
         """Whether there are messages for a gateway."""
--- a/chestnutfall/tests/test_answer_timer.py
+++ b/chestnutfall/tests/test_answer_timer.py
@@ -8,7 +8,7 @@
 
 import unittest
 
-from ..coordination.answer_timer import FACTOR, LEAST_MS, AnswerTimer
+from ..coordination.answer_timer import MIN_TIMEOUT_MS, TIMEOUT_FACTOR, AnswerTimer
 
 USUAL_MS = 5.0
 
@@ -23,13 +23,13 @@
                         timer.unanswered()
                     else:
                         timer.answered(USUAL_MS)
-                self.assertLess(timer.wait_ms, 3 * FACTOR * USUAL_MS)
+                self.assertLess(timer.timeout_ms, 3 * TIMEOUT_FACTOR * USUAL_MS)
 
     def test_a_slower_engine_is_waited_for(self) -> None:
         timer = AnswerTimer()
         for _ in range(50):
             timer.answered(USUAL_MS)
-        self.assertEqual(timer.wait_ms, LEAST_MS)
+        self.assertEqual(timer.timeout_ms, MIN_TIMEOUT_MS)
         for _ in range(60):
             timer.unanswered()
-        self.assertGreater(timer.wait_ms, 200)
+        self.assertGreater(timer.timeout_ms, 200)
--- a/chestnutfall/tests/test_control_server.py
+++ b/chestnutfall/tests/test_control_server.py
@@ -12,8 +12,8 @@
 
 import aiohttp
 
-from ..coordination.controller_run import DeskInUse
-from ..coordination.document_box import pack, unpack
+from ..coordination.controller_runner import CurrentRelay
+from ..coordination.document_compression import compress_document, decompress_document
 from ..coordination.relay_messages import (
     Accepted,
     Announce,
@@ -47,7 +47,7 @@
     return json.dumps({"version": 3, "routes": made, "services": [SERVICE]}).encode()
 
 
-class _Desk(DeskInUse):
+class _Desk(CurrentRelay):
     """Notes what is asked, and gives one answer."""
 
     def __init__(self) -> None:
@@ -83,7 +83,7 @@
         self.assertEqual(status, 200)
         stored = self.desk.asked[0]
         assert isinstance(stored, StoreDocument)
-        self.assertEqual((stored.version, unpack(stored.content)), (3, content))
+        self.assertEqual((stored.version, decompress_document(stored.content)), (3, content))
 
     async def test_an_invalid_document_is_refused_with_its_findings(self) -> None:
         broken = _document(1).replace(b"forms", b"other", 1)
@@ -100,7 +100,7 @@
                 self.assertEqual((await self._call("PUT", "/v1/config", _document(1)))[0], status)
 
     async def test_the_document_is_read_back_or_not_known(self) -> None:
-        self.desk.answer = HeldDocument(3, pack(b"{}"))
+        self.desk.answer = HeldDocument(3, compress_document(b"{}"))
         self.assertEqual(await self._call("GET", "/v1/config"), (200, b"{}"))
         self.desk.answer = HeldDocument(-1, b"")
         self.assertEqual((await self._call("GET", "/v1/config"))[0], 503)
--- a/chestnutfall/tests/test_crash_monitor.py
+++ b/chestnutfall/tests/test_crash_monitor.py
@@ -182,13 +182,13 @@
         assert term is not None
         sessions = [GatewaySession(f"g{number}") for number in range(gateways)]
         for session in sessions:
-            term.join(session, -1)
+            term.add_gateway(session, -1)
         return sessions
 
     def _tell(self, session: GatewaySession, report: Any) -> None:
         term = self.leaders[self.name].leading()
         assert term is not None
-        term.take(session, report)
+        term.handle(session, report)
 
     @staticmethod
     def _held(session: GatewaySession) -> set[str]:
--- a/chestnutfall/tests/test_dissemination.py
+++ b/chestnutfall/tests/test_dissemination.py
@@ -16,9 +16,9 @@
 from ..clock import ManualClock
 from ..control.upstream_record import UpstreamRecord
 from ..control.upstream_roster import UpstreamRoster
-from ..coordination.gateway_session import BULK_MS, GatewaySession
+from ..coordination.gateway_session import BULK_INTERVAL_MS, GatewaySession
 from ..coordination.messages import FLEET_CODEC, Pulse
-from ..coordination.upstream_views import MOST_CHANGES, REBASE_CHANGES, UpstreamViews
+from ..coordination.upstream_views import MAX_CHANGES, REBASE_CHANGES, UpstreamViews
 from ..forwarding.known_upstreams import KnownUpstreams
 
 LINK_BYTES_PER_MS = 625
@@ -105,12 +105,12 @@
 
     def test_changes_do_not_pile_up_while_no_gateway_joins(self) -> None:
         views, known = UpstreamViews(), KnownUpstreams()
-        for number in range(2 * MOST_CHANGES):
+        for number in range(2 * MAX_CHANGES):
             list(views.change_to([_record(number)]))
-        self.assertLessEqual(len(views._since), MOST_CHANGES)
+        self.assertLessEqual(len(views._since), MAX_CHANGES)
         for part in views.whole():
             known.apply(part)
-        self.assertEqual(known.instances(), {_record(2 * MOST_CHANGES - 1).instance})
+        self.assertEqual(known.instances(), {_record(2 * MAX_CHANGES - 1).instance})
 
     def test_services_are_told_apart_after_each_change(self) -> None:
         known, views = KnownUpstreams(), UpstreamViews()
@@ -138,10 +138,10 @@
         self.assertEqual(await self._next(session, clock, 0), "bulk 1")
         session.send(Pulse())
         self.assertEqual(await self._next(session, clock, 0), Pulse())
-        await clock.advance(BULK_MS)
+        await clock.advance(BULK_INTERVAL_MS)
         session.send(Pulse())
         self.assertEqual(await self._next(session, clock, 0), Pulse())
-        self.assertEqual(await self._next(session, clock, BULK_MS), "bulk 2")
+        self.assertEqual(await self._next(session, clock, BULK_INTERVAL_MS), "bulk 2")
         self.assertIsNone(await self._next(session, clock, 150))
 
     async def test_bulk_that_is_told_anew_replaces_the_old(self) -> None:
--- a/chestnutfall/tests/test_engine_orders.py
+++ b/chestnutfall/tests/test_engine_orders.py
@@ -92,7 +92,7 @@
         self.running.cancel()
 
     def _load(self, name: str) -> None:
-        self.orders.give(LoadAdapter("i1", AdapterName("base", name), 0))
+        self.orders.submit(LoadAdapter("i1", AdapterName("base", name), 0))
 
     async def test_an_unanswered_order_is_repeated_and_runs_once(self) -> None:
         self.engine.unanswered = {1, 2}
@@ -169,7 +169,7 @@
         # An engine crashes with all its requests: it was told to hold one adapter too many. It
         # lets the last requests of an adapter end before it drops it; the leader did not know
         # of them, since they were placed by its predecessor.
-        self.orders.give(UnloadAdapter("i1", AdapterName("base", "old")))
+        self.orders.submit(UnloadAdapter("i1", AdapterName("base", "old")))
         self._load("a1")
         await self.clock.advance(900)
         self.assertEqual(self.engine.taken, ["unload"])
--- a/chestnutfall/tests/test_fleet_leader.py
+++ b/chestnutfall/tests/test_fleet_leader.py
@@ -15,10 +15,11 @@
 from ..control.control_state import ControlState
 from ..control.crash_messages import BrokenRun
 from ..control.upstream_record import UpstreamRecord, incarnation_key
-from ..coordination.document_box import pack, unpack
+from ..coordination.document_compression import compress_document, decompress_document
 from ..coordination.fleet_leader import FleetLeader
 from ..coordination.gateway_session import GatewaySession
-from ..coordination.group_keeper import GroupKeeper
+from ..coordination.group_manager import GroupManager
+from ..coordination.leader_relay import LeaderRelay
 from ..coordination.messages import (
     AnswerRepeat,
     AskRepeat,
@@ -27,7 +28,6 @@
     UpstreamsChange,
     UpstreamsPart,
 )
-from ..coordination.relay_desk import RelayDesk
 from ..coordination.relay_messages import (
     Accepted,
     Announce,
@@ -39,7 +39,7 @@
     StoreVersion,
     Unavailable,
 )
-from ..coordination.upstream_desk import MATCH_MS
+from ..coordination.upstream_tracker import MIN_UPDATE_INTERVAL_MS
 from ..forwarding.known_upstreams import KnownUpstreams
 from ..placement import AdapterName, EngineReport, Grant, LoadAdapter, PlaceRequest
 from ..placement.engine_kind import EngineKind
@@ -75,7 +75,7 @@
         await self.cluster.bootstrap()
         self.engines = TakingEngines()
         self.leaders: dict[str, FleetLeader] = {}
-        self.desks: dict[str, RelayDesk] = {}
+        self.desks: dict[str, LeaderRelay] = {}
         self.tasks: list[asyncio.Task[None]] = []
         for name, replica in self.cluster.replicas.items():
             state = replica.machine
@@ -84,9 +84,9 @@
             leader = FleetLeader(
                 replica, state, DocumentJson(), self.engines, clock, 1000, REPEATS, STRICT
             )
-            keeper = GroupKeeper(replica, state, clock, 1)
+            keeper = GroupManager(replica, state, clock, 1)
             self.leaders[name] = leader
-            self.desks[name] = RelayDesk(replica, state, leader, keeper, clock)
+            self.desks[name] = LeaderRelay(replica, state, leader, keeper, clock)
             self.tasks += [asyncio.ensure_future(one.run()) for one in (leader, keeper)]
         self.name = (await self.cluster.leader()).replica_id
         await self.cluster.clock.advance(500)
@@ -123,7 +123,7 @@
         session = GatewaySession("g1")
         term = self.leaders[self.name].leading()
         assert term is not None
-        term.join(session, version)
+        term.add_gateway(session, version)
         return session
 
     @staticmethod
@@ -148,7 +148,7 @@
     async def test_an_engine_that_ended_gets_no_more_work_until_it_is_heard_again(self) -> None:
         # Answers broke off and its port is closed. Others that ask for its adapters must not be
         # sent there for the seconds in which its last heartbeat still counts.
-        await self._ask(StoreDocument(3, pack(_document(3))))
+        await self._ask(StoreDocument(3, compress_document(_document(3))))
         for name in ("e1", "e2"):
             await self._announce(name, 1)
         session = self._join()
@@ -157,7 +157,7 @@
         known = self._told(session)
         for refuses, serving in ((False, {"e1", "e2"}), (True, {"e2"})):
             with self.subTest(refuses):
-                term.take(session, BrokenRun("r", "e1", "127.0.0.1:e1", refuses, 90, 5))
+                term.handle(session, BrokenRun("r", "e1", "127.0.0.1:e1", refuses, 90, 5))
                 await self.cluster.clock.advance(25)
                 await self.cluster.clock.advance(25)
                 known = self._told(session, known)
@@ -167,16 +167,18 @@
 
     async def test_documents_are_acknowledged_once_committed_and_pushed(self) -> None:
         session = self._join()
-        content = pack(_document(3))
+        content = compress_document(_document(3))
         self.assertEqual(await self._ask(StoreDocument(3, content)), Accepted())
         self.assertEqual(self._messages(session, PutInForce), [PutInForce(3, content)])
         self.assertEqual(await self._ask(StoreDocument(3, content)), Accepted())
-        self.assertEqual(await self._ask(StoreDocument(2, pack(_document(2)))), Accepted())
-        other = await self._ask(StoreDocument(3, pack(_document(3, "other"))))
+        self.assertEqual(
+            await self._ask(StoreDocument(2, compress_document(_document(2)))), Accepted()
+        )
+        other = await self._ask(StoreDocument(3, compress_document(_document(3, "other"))))
         self.assertIsInstance(other, Rejected)
         held = await self._ask(ReadDocument())
         self.assertIsInstance(held, HeldDocument)
-        self.assertEqual(unpack(held.content), _document(3))
+        self.assertEqual(decompress_document(held.content), _document(3))
 
     async def test_many_documents_in_a_row_reach_gateways_as_the_newest(self) -> None:
         # Operators send sixteen versions a second; on the links of ninety gateways they queue
@@ -184,7 +186,9 @@
         session = self._join()
         for version in range(1, 13):
             asked = asyncio.ensure_future(
-                self.desks[self.name].answer(StoreDocument(version, pack(_document(version))))
+                self.desks[self.name].answer(
+                    StoreDocument(version, compress_document(_document(version)))
+                )
             )
             await self.cluster.clock.advance(50)
             self.assertEqual(await asked, Accepted())
@@ -194,16 +198,16 @@
         self.assertLess(len(told), 7)
 
     async def test_a_leader_that_was_cut_off_acknowledges_and_reads_nothing(self) -> None:
-        await self._ask(StoreDocument(3, pack(_document(3))))
+        await self._ask(StoreDocument(3, compress_document(_document(3))))
         self.cluster.isolate(self.name)
         await self.cluster.clock.advance(1_500)
-        for msg in (ReadDocument(), StoreDocument(4, pack(_document(4))), Depart("1")):
+        for msg in (ReadDocument(), StoreDocument(4, compress_document(_document(4))), Depart("1")):
             self.assertIsInstance(await self._ask(msg), Unavailable)
 
     async def test_an_upstream_that_leaves_is_gone_from_every_view_before_the_answer(self) -> None:
-        await self._ask(StoreDocument(3, pack(_document(3))))
+        await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 1)
-        await self.cluster.clock.advance(MATCH_MS)
+        await self.cluster.clock.advance(MIN_UPDATE_INTERVAL_MS)
         session = self._join()
         self.assertEqual(self._told(session), {"1"})
         self.assertEqual(await self._announce("1", 2, leaving=True), Accepted())
@@ -215,7 +219,7 @@
         # The engine crashes, and its next life counts its announcements anew. Taken for the life
         # before it would never be heard again, and its requests would go to adapters that it
         # does not hold any more. A late announcement of the life before changes nothing.
-        await self._ask(StoreDocument(3, pack(_document(3))))
+        await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 50, started_ms=1_000)
         session = self._join()
         await self._announce("1", 1, started_ms=2_000)
@@ -224,7 +228,7 @@
         self.assertEqual(self._told(session), {"1~2000"})
 
     async def test_a_departure_without_a_start_is_that_of_the_latest(self) -> None:
-        await self._ask(StoreDocument(3, pack(_document(3))))
+        await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 1, started_ms=1_000)
         await self._announce("1", 1, started_ms=2_000)
         session = self._join()
@@ -235,7 +239,7 @@
     async def test_an_entry_of_an_unknown_service_takes_no_address(self) -> None:
         # Another writer announces the address of an engine that serves, under a service that no
         # document names. Heard last, it would have the address, and the engine no work.
-        await self._ask(StoreDocument(3, pack(_document(3))))
+        await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 1)
         session = self._join()
         record = UpstreamRecord("ghost", "nowhere", "127.0.0.1:1", "dc")
@@ -244,7 +248,7 @@
         self.assertEqual(self._told(session), {"1"})
 
     async def test_a_successor_knows_who_left(self) -> None:
-        await self._ask(StoreDocument(3, pack(_document(3))))
+        await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 1)
         self.assertEqual(await self._ask(Depart("1")), Accepted())
         await self._depose()
@@ -254,7 +258,7 @@
     async def test_a_successor_knows_how_fast_engines_are(self) -> None:
         # All hosts lost power, and everyone waits. A leader that begins with guesses has engines
         # that read twice as fast stand half idle for its first seconds.
-        await self._ask(StoreDocument(3, pack(_document(3))))
+        await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 1)
         await self.cluster.clock.advance(300)
         session = self._join()
@@ -263,7 +267,7 @@
             await self.cluster.clock.advance(400 if not number else 20)
             term = self.leaders[self.name].leading()
             assert term is not None
-            term.take(session, Release(f"t{number}", "done", RunTimes(30.0, 0.0, 20.0)))
+            term.handle(session, Release(f"t{number}", "done", RunTimes(30.0, 0.0, 20.0)))
         await self.cluster.clock.advance(1_500)
         state = self.leaders[self.name]._state
         self.assertLess(state.engine_kinds["drafts"].ms_per_token, EngineKind().ms_per_token / 1.4)
@@ -286,7 +290,7 @@
         term = self.leaders[self.name].leading()
         assert term is not None
         name = AdapterName("base", "a1")
-        term.take(
+        term.handle(
             session, PlaceRequest(ticket, "drafts", name, prompt_tokens, 5, (), 1, 500, 4000, "dc")
         )
 
@@ -297,15 +301,15 @@
         session = self._join()
         term = self.leaders[self.name].leading()
         assert term is not None
-        term.take(session, AskRepeat(1, "drafts"))
+        term.handle(session, AskRepeat(1, "drafts"))
         self.assertEqual(self._messages(session, AnswerRepeat), [AnswerRepeat(1, True)])
         self.cluster.isolate(self.name)
         await self.cluster.clock.advance(1_500)
-        term.take(session, AskRepeat(2, "drafts"))
+        term.handle(session, AskRepeat(2, "drafts"))
         self.assertEqual(self._messages(session, AnswerRepeat), [AnswerRepeat(2, False)])
 
     async def test_a_place_is_given_after_one_load_under_the_term_as_fencing_token(self) -> None:
-        await self._ask(StoreDocument(3, pack(_document(3))))
+        await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 1)
         session = self._join()
         await self.cluster.clock.advance(300)
@@ -318,11 +322,11 @@
         self.assertEqual([token for token, _ in self.engines.orders], [term])
         leading = self.leaders[self.name].leading()
         assert leading is not None
-        leading.take(session, Release("t1", "done"))
+        leading.handle(session, Release("t1", "done"))
         self.assertEqual(session.tickets, {"t2"})
 
     async def test_a_named_version_is_loaded_and_asked_for(self) -> None:
-        await self._ask(StoreDocument(3, pack(_document(3))))
+        await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 1)
         self.assertEqual(await self._ask(StoreVersion("base", "a1", 4)), Accepted())
         session = self._join()
--- a/chestnutfall/tests/test_fleet_parts.py
+++ b/chestnutfall/tests/test_fleet_parts.py
@@ -14,7 +14,7 @@
 from ..control.upstream_record import UpstreamRecord
 from ..control.upstream_roster import UpstreamRoster
 from ..coordination.holdings_diff import holdings_change
-from ..coordination.upstream_watch import UpstreamWatch
+from ..coordination.upstream_liveness import UpstreamLiveness
 from ..forwarding.drain import BALANCER_NOTICE_MS, POLL_MS, QUIET_MS, Drainable, drain
 from ..forwarding.event_splitter import EventSplitter
 from ..forwarding.holders import Holders
@@ -70,27 +70,27 @@
 class UpstreamWatchTest(unittest.IsolatedAsyncioTestCase):
     async def test_the_incarnation_heard_last_has_the_address(self) -> None:
         clock = ManualClock()
-        watch = UpstreamWatch(clock, 1000)
+        liveness = UpstreamLiveness(clock, 1000)
         old = UpstreamRecord("old", "s", "127.0.0.1:1", "dc")
         new = UpstreamRecord("new", "other", "127.0.0.1:1", "dc")
-        watch.heard("old", 1)
+        liveness.record_announcement("old", 1)
         await clock.advance(100)
-        watch.heard("new", 1)
-        self.assertEqual(list(watch.serving((old, new))), [new])
-        self.assertFalse(watch.heard("new", 0))
+        liveness.record_announcement("new", 1)
+        self.assertEqual(list(liveness.serving((old, new))), [new])
+        self.assertFalse(liveness.record_announcement("new", 0))
 
     async def test_a_failed_connection_and_one_missing_heartbeat_make_it_silent(self) -> None:
         clock = ManualClock()
-        watch = UpstreamWatch(clock, 1000)
+        liveness = UpstreamLiveness(clock, 1000)
         record = UpstreamRecord("i1", "s", "127.0.0.1:1", "dc")
-        watch.heard("i1", 1)
-        watch.unreachable("i1")
-        self.assertEqual(list(watch.serving((record,))), [record])
+        liveness.record_announcement("i1", 1)
+        liveness.unreachable("i1")
+        self.assertEqual(list(liveness.serving((record,))), [record])
         await clock.advance(1600)
-        watch.unreachable("i1")
-        self.assertEqual(list(watch.serving((record,))), [])
-        watch.heard("i1", 2)
-        self.assertEqual(list(watch.serving((record,))), [record])
+        liveness.unreachable("i1")
+        self.assertEqual(list(liveness.serving((record,))), [])
+        liveness.record_announcement("i1", 2)
+        self.assertEqual(list(liveness.serving((record,))), [record])
 
 
 class HoldersTest(unittest.TestCase):
--- a/chestnutfall/tests/test_gateway_news.py
+++ b/chestnutfall/tests/test_gateway_broadcaster.py
@@ -13,7 +13,7 @@
 
 from ..clock import ManualClock
 from ..control.control_state import ControlState
-from ..coordination.gateway_news import HOLDINGS_MS, GatewayNews
+from ..coordination.gateway_broadcaster import HOLDINGS_INTERVAL_MS, GatewayBroadcaster
 from ..coordination.gateway_session import GatewaySession
 from ..coordination.gateway_sessions import GatewaySessions
 from ..coordination.messages import FLEET_CODEC, HoldingsChange
@@ -49,7 +49,7 @@
         return AdapterName("base", "a" + "-".join(map(str, parts)))
 
     def _lead(self) -> None:
-        self.news = GatewayNews(
+        self.broadcaster = GatewayBroadcaster(
             self.sessions,
             ControlState(),
             self.placer,
@@ -61,7 +61,7 @@
         for engine, held in self.held.items():
             self.placer.engine_reported(engine, EngineReport({"base": 1}, dict(held), {}, 0))
         self.clock._now_ms += ms
-        self.news.tell_what_is_due()
+        self.broadcaster.send_due()
         while not self.session.out.empty():
             self._take(self.session.out.get_nowait())
         while self.session._bulk:
@@ -80,22 +80,22 @@
         )
 
     def test_what_lasts_is_known_within_two_looks(self) -> None:
-        self._tell(HOLDINGS_MS)
-        self._tell(HOLDINGS_MS)
+        self._tell(HOLDINGS_INTERVAL_MS)
+        self._tell(HOLDINGS_INTERVAL_MS)
         self.assertEqual(self._known(), ENGINES * SLOTS)
 
     def test_what_is_dropped_is_forgotten_at_the_next_look(self) -> None:
-        self._tell(HOLDINGS_MS)
-        self._tell(HOLDINGS_MS)
+        self._tell(HOLDINGS_INTERVAL_MS)
+        self._tell(HOLDINGS_INTERVAL_MS)
         gone = self.held["e0"].popitem()[0]
-        self._tell(HOLDINGS_MS)
+        self._tell(HOLDINGS_INTERVAL_MS)
         self.assertEqual(list(self.holders.of(gone)), [])
 
     def test_adapters_that_come_and_go_cost_little(self) -> None:
         # Each engine loads four adapters a second; two of its seven places keep what is popular.
         rng = random.Random(1)
-        self._tell(HOLDINGS_MS)
-        self._tell(HOLDINGS_MS)
+        self._tell(HOLDINGS_INTERVAL_MS)
+        self._tell(HOLDINGS_INTERVAL_MS)
         self.bytes = 0
         for number in range(20_000, 20_040):
             for at, held in enumerate(self.held.values()):
@@ -108,13 +108,13 @@
     def test_a_new_leader_takes_nothing_away_before_it_knows_better(self) -> None:
         # Two leaders fail within a second. What gateways knew from the first must last over the
         # second, which had read no engine's report yet.
-        self._tell(HOLDINGS_MS)
-        self._tell(HOLDINGS_MS)
+        self._tell(HOLDINGS_INTERVAL_MS)
+        self._tell(HOLDINGS_INTERVAL_MS)
         self._lead()
-        self.news.greet(self.session, 0)
-        self._tell(HOLDINGS_MS)
+        self.broadcaster.send_initial_state(self.session, 0)
+        self._tell(HOLDINGS_INTERVAL_MS)
         self.assertEqual(self._known(), ENGINES * SLOTS)
         self.held["e0"].clear()
-        self._tell(HOLDINGS_MS)
+        self._tell(HOLDINGS_INTERVAL_MS)
         self.assertEqual(self._known(), (ENGINES - 1) * SLOTS)
         self.assertEqual(len(list(self.holders.of(self._name(0, 0)))), 0)
--- a/chestnutfall/tests/test_group_joiner.py
+++ b/chestnutfall/tests/test_group_joiner.py
@@ -13,12 +13,12 @@
 
 from ..consensus import Member
 from ..coordination.group_joiner import GroupJoiner
-from ..coordination.relay_desk import RelayDesk
+from ..coordination.leader_relay import LeaderRelay
 from ..coordination.relay_messages import Accepted, JoinGroup, Unavailable
 from .fakes import FakeCluster
 
 
-class _Desk(RelayDesk):
+class _Desk(LeaderRelay):
     """Answers for the controllers named in `answers`."""
 
     def __init__(self, answers: dict[str, Any]) -> None:
--- a/chestnutfall/tests/test_group_keeper.py
+++ b/chestnutfall/tests/test_group_manager.py
@@ -12,7 +12,7 @@
 
 from ..consensus import Member, Replica
 from ..control.control_state import ControlState
-from ..coordination.group_keeper import REPLACE_AFTER_MS, GroupKeeper
+from ..coordination.group_manager import REPLACE_AFTER_MS, GroupManager
 from ..coordination.relay_messages import JoinGroup
 from .fakes import FakeCluster
 
@@ -23,7 +23,7 @@
         await self.cluster.bootstrap()
         self.joining: set[str] = set()
         self.keeping: dict[str, asyncio.Task[None]] = {}
-        self.keepers: dict[str, GroupKeeper] = {}
+        self.keepers: dict[str, GroupManager] = {}
         self._keep(await self.cluster.leader())
 
     async def asyncTearDown(self) -> None:
@@ -33,7 +33,7 @@
         name = replica.replica_id
         state = replica.machine
         assert isinstance(state, ControlState)
-        self.keepers[name] = GroupKeeper(replica, state, self.cluster.clock, 2)
+        self.keepers[name] = GroupManager(replica, state, self.cluster.clock, 2)
         self.keeping[name] = asyncio.ensure_future(self.keepers[name].run())
 
     def _add(self, *names: str) -> None:
@@ -47,7 +47,7 @@
             if leader.replica_id not in self.keepers:
                 self._keep(leader)
             for name in self.joining:
-                self.keepers[leader.replica_id].wants_to_join(JoinGroup(name, name))
+                self.keepers[leader.replica_id].register_joiner(JoinGroup(name, name))
             await self.cluster.clock.advance(100)
 
     async def _members(self) -> dict[str, bool]:
--- a/chestnutfall/tests/test_heartbeat_batch.py
+++ b/chestnutfall/tests/test_heartbeat_batch.py
@@ -13,7 +13,7 @@
 from ..clock import ManualClock
 from ..control.upstream_record import UpstreamRecord
 from ..control.upstream_roster import UpstreamRoster
-from ..coordination.heartbeat_batch import BATCH_MS, IN_TOUCH_MS, HeartbeatBatch
+from ..coordination.heartbeat_batch import BATCH_MS, LEADER_CONTACT_MS, HeartbeatBatch
 from ..coordination.relay_messages import Accepted, Announce, Heartbeats, Unavailable
 from ..placement import AdapterName, EngineReport
 
@@ -36,17 +36,17 @@
         return self.answer
 
     def _takes(self, record: UpstreamRecord, number: int = 1) -> bool:
-        return self.batch.takes(Announce(record, number, None), self.roster)
+        return self.batch.try_add(Announce(record, number, None), self.roster)
 
     async def test_what_is_known_is_answered_at_once_and_passed_on_together(self) -> None:
-        await self.batch.pass_on()
+        await self.batch.flush()
         self.roster.add(_record("2"))
         self.assertTrue(self._takes(_record("1")) and self._takes(_record("2")))
-        await self.batch.pass_on()
+        await self.batch.flush()
         self.assertEqual(len(self.passed[-1].announcements), 2)
 
     async def test_what_is_new_goes_to_the_leader_itself(self) -> None:
-        await self.batch.pass_on()
+        await self.batch.flush()
         self.assertFalse(self._takes(_record("9")))
         self.assertFalse(self._takes(_record("1", leaving=True)))
         moved = UpstreamRecord("1", "s", "127.0.0.1:2", "dc", False, "1")
@@ -56,29 +56,29 @@
 
     async def test_out_of_touch_nothing_is_answered_here(self) -> None:
         self.assertFalse(self._takes(_record("1")))
-        await self.batch.pass_on()
+        await self.batch.flush()
         self.assertTrue(self._takes(_record("1")))
         self.answer = Unavailable()
-        self.clock._now_ms += IN_TOUCH_MS
-        await self.batch.pass_on()
+        self.clock._now_ms += LEADER_CONTACT_MS
+        await self.batch.flush()
         self.assertFalse(self._takes(_record("1")))
 
     async def test_what_the_leader_did_not_take_is_passed_on_again_by_its_newest(self) -> None:
-        await self.batch.pass_on()
+        await self.batch.flush()
         self.answer = Unavailable()
         self._takes(_record("1"), 5)
-        await self.batch.pass_on()
+        await self.batch.flush()
         self._takes(_record("1"), 6)
         self.answer = Accepted()
         self.clock._now_ms += BATCH_MS
-        await self.batch.pass_on()
+        await self.batch.flush()
         self.assertEqual([one.number for one in self.passed[-1].announcements], [6])
 
     async def test_what_an_engine_holds_is_left_out(self) -> None:
-        await self.batch.pass_on()
+        await self.batch.flush()
         holds = EngineReport({"base": 1}, {AdapterName("base", "a1"): 1}, {}, 0)
-        self.batch.takes(Announce(_record("1"), 1, holds), self.roster)
-        await self.batch.pass_on()
+        self.batch.try_add(Announce(_record("1"), 1, holds), self.roster)
+        await self.batch.flush()
         told = self.passed[-1].announcements[0].holds
         assert told is not None
         self.assertEqual((told.models, told.adapters), ({"base": 1}, {}))
--- a/chestnutfall/tests/test_leader_rush.py
+++ b/chestnutfall/tests/test_leader_rush.py
@@ -59,14 +59,14 @@
 
     def _join(self, number: int) -> GatewaySession:
         session = GatewaySession(f"g{number}")
-        self.term.join(session, -1)
+        self.term.add_gateway(session, -1)
         return session
 
     async def test_a_gateway_that_comes_and_goes_costs_the_others_nothing(self) -> None:
         first = self._join(0)
         self._drain(first)
         for number in range(1, GATEWAYS):
-            self.term.part(self._join(number))
+            self.term.remove_gateway(self._join(number))
         self.assertEqual(self._drain(first), [])
 
     async def test_the_number_of_gateways_is_told_soon_when_it_grew(self) -> None:
--- a/chestnutfall/tests/test_limit_desk.py
+++ b/chestnutfall/tests/test_limit_coordinator.py
@@ -8,7 +8,7 @@
 from ..control.upstream_record import UpstreamRecord
 from ..coordination.gateway_session import GatewaySession
 from ..coordination.gateway_sessions import GatewaySessions
-from ..coordination.limit_desk import TELL_MS, LimitDesk
+from ..coordination.limit_coordinator import SEND_INTERVAL_MS, LimitCoordinator
 from ..limits.limit_registry import LimitRegistry
 from ..limits.messages import HeardLimit, LimitsInForce, RequestLimit
 from ..placement.placer import Placer
@@ -22,8 +22,8 @@
         self.sessions = GatewaySessions()
         placer = Placer(self.clock, limits)
         backoffs = BackoffRegistry(self.clock)
-        self.desk = LimitDesk(limits, backoffs, placer, self.sessions, self.clock)
-        self.desk.use(
+        self.coordinator = LimitCoordinator(limits, backoffs, placer, self.sessions, self.clock)
+        self.coordinator.set_serving(
             [UpstreamRecord("i", "s", "1:1", "dc"), UpstreamRecord("j", "s", "1:2", "dc")]
         )
         self.reporting, self.other = self._join("g1"), self._join("g2")
@@ -31,22 +31,24 @@
     def _join(self, name: str) -> GatewaySession:
         session = GatewaySession(name)
         self.sessions.add(session)
-        self.desk.greet(session)
+        self.coordinator.send_initial_state(session)
         return session
 
     def _received(self, session: GatewaySession) -> list[object]:
         return [session.out.get_nowait() for _ in range(session.out.qsize())]
 
     def _report(self, per_s: float | None, asked_ago_ms: int = 0, heard_ago_ms: int = 0) -> None:
-        self.desk.hear(self.reporting, HeardLimit("i", per_s, asked_ago_ms, heard_ago_ms))
-        self.desk.carry_out()
+        self.coordinator.record_limit(
+            self.reporting, HeardLimit("i", per_s, asked_ago_ms, heard_ago_ms)
+        )
+        self.coordinator.send_due()
 
     def test_every_gateway_is_told_of_a_limit_and_of_its_end(self) -> None:
         self._report(3.0)
         limit = LimitsInForce((RequestLimit("i", 3.0),))
         self.assertEqual(self._received(self.other), [limit])
         self.assertEqual(self._received(self._join("late")), [limit])
-        self.clock._now_ms += TELL_MS
+        self.clock._now_ms += SEND_INTERVAL_MS
         self._report(None)
         self.assertEqual(self._received(self.other), [LimitsInForce((), ("i",))])
         self.assertEqual(self._received(self._join("later")), [])
@@ -55,8 +57,8 @@
     def test_a_gateway_that_tells_what_is_over_is_told_so(self) -> None:
         self._report(3.0)
         self._report(None)
-        self.clock._now_ms += TELL_MS
-        self.desk.carry_out()
+        self.clock._now_ms += SEND_INTERVAL_MS
+        self.coordinator.send_due()
         self._received(self.reporting)
         self.clock._now_ms += 5_000
         self._report(3.0, 5_200, 5_150)
@@ -74,4 +76,4 @@
         for at in range(1_000):
             self.clock._now_ms += 1
             self._report(1.0 + at % 7)
-        self.assertLessEqual(len(self._received(self.other)), 1_000 // TELL_MS + 1)
+        self.assertLessEqual(len(self._received(self.other)), 1_000 // SEND_INTERVAL_MS + 1)
--- a/chestnutfall/tests/test_repeats.py
+++ b/chestnutfall/tests/test_repeats.py
@@ -16,7 +16,7 @@
 
 from ..clock import ManualClock
 from ..coordination.messages import AnswerRepeat, AskRepeat
-from ..coordination.repeat_pool import POOL_PART, SAFETY, RepeatPool
+from ..coordination.repeat_pool import POOL_SHARE, SAFETY_FACTOR, RepeatPool
 from ..forwarding.fleet_client import REPEAT_TIMEOUT_MS, FleetClient
 from ..forwarding.fleet_knowledge import FleetKnowledge
 from ..forwarding.repeats import Repeats
@@ -85,7 +85,7 @@
                 fleet = _Fleet(gateways, RepeatBounds(0.0, 430, 10_000))
                 await fleet.clock.advance(10_000)
                 got = await fleet.repeats_of(0, 400)
-                self.assertGreaterEqual(got, int(SAFETY * POOL_PART * 430))
+                self.assertGreaterEqual(got, int(SAFETY_FACTOR * POOL_SHARE * 430))
 
     async def test_a_new_leader_gives_nothing_that_the_one_before_may_have_given(self) -> None:
         # A leader gives out all its repeats and is cut off. Its successor does not know of them.
@@ -112,7 +112,7 @@
                 fleet = _Fleet(gateways, RepeatBounds(0.0, 430, 10_000))
                 await fleet.clock.advance(10_000)
                 got = await fleet.repeats_of(0, 400, busy=True)
-                self.assertLessEqual(got, (1 - POOL_PART) * 430 / gateways)
+                self.assertLessEqual(got, (1 - POOL_SHARE) * 430 / gateways)
 
     async def test_without_a_leader_two_hundred_gateways_have_their_share_together(self) -> None:
         # After a power loss on all hosts, drafts arrive before their adapters are loaded. If shares
@@ -121,8 +121,8 @@
             with self.subTest(gateways=gateways):
                 fleet = _Fleet(gateways, RepeatBounds(0.0, 430, 10_000))
                 got = sum([await fleet.repeats_of(at, 60) for at in range(gateways)])
-                self.assertGreater(got, 0.85 * SAFETY * (1 - POOL_PART) * 430)
-                self.assertLess(got, (1 - POOL_PART) * 430)
+                self.assertGreater(got, 0.85 * SAFETY_FACTOR * (1 - POOL_SHARE) * 430)
+                self.assertLess(got, (1 - POOL_SHARE) * 430)
 
     async def test_repeats_of_one_service_take_nothing_from_another(self) -> None:
         fleet = _Fleet(1, RepeatBounds(0.0, 40, 10_000))
--- a/properties/safeguards/fleet_mutants.py
+++ b/properties/safeguards/fleet_mutants.py
@@ -29,8 +29,8 @@
     Mutant(
         "lost answer counts with the time waited for it",
         "chestnutfall/coordination/answer_timer.py",
-        "UNANSWERED_FACTOR * self._usual_ms",
-        "self.wait_ms",
+        "UNANSWERED_FACTOR * self._average_ms",
+        "self.timeout_ms",
         "chestnutfall.tests.test_answer_timer",
     ),
     Mutant(
@@ -91,17 +91,17 @@
     ),
     Mutant(
         "gateways are told of every adapter that comes and goes",
-        "chestnutfall/coordination/gateway_news.py",
-        "        lasting, self._seen = ready & self._seen, ready",
-        "        lasting, self._seen = ready, ready",
-        "chestnutfall.tests.test_gateway_news",
+        "chestnutfall/coordination/gateway_broadcaster.py",
+        "        lasting, self._last_ready = ready & self._last_ready, ready",
+        "        lasting, self._last_ready = ready, ready",
+        "chestnutfall.tests.test_gateway_broadcaster",
     ),
     Mutant(
         "a new leader's greeting makes gateways forget",
-        "chestnutfall/coordination/gateway_news.py",
-        "        if self._told:\n            session.send_bulk(",
+        "chestnutfall/coordination/gateway_broadcaster.py",
+        "        if self._sent:\n            session.send_bulk(",
         "        if True:\n            session.send_bulk(",
-        "chestnutfall.tests.test_gateway_news",
+        "chestnutfall.tests.test_gateway_broadcaster",
     ),
     Mutant(
         "late calls are taken while leaving",
@@ -120,8 +120,8 @@
     Mutant(
         "shares of less than one repeat are none",
         "chestnutfall/forwarding/shared_retry_budget.py",
-        "SAFETY * own + self._rounding_offset:",
-        "SAFETY * own:",
+        "SAFETY_FACTOR * own + self._rounding_offset:",
+        "SAFETY_FACTOR * own:",
         "chestnutfall.tests.test_repeats",
     ),
 )
--- a/properties/safeguards/limit_mutants.py
+++ b/properties/safeguards/limit_mutants.py
@@ -82,17 +82,17 @@
     ),
     Mutant(
         "a gateway that missed the end of a limit is not told",
-        "chestnutfall/coordination/limit_desk.py",
+        "chestnutfall/coordination/limit_coordinator.py",
         "        if holds_per_s is None and heard.per_s is not None:",
         "        if False:",
-        "chestnutfall.tests.test_limit_desk",
+        "chestnutfall.tests.test_limit_coordinator",
     ),
     Mutant(
         "limits are not told to other gateways",
-        "chestnutfall/coordination/limit_desk.py",
-        "            self._sessions.tell_all(LimitsInForce(tuple(changed), tuple(ended)))",
+        "chestnutfall/coordination/limit_coordinator.py",
+        "            self._sessions.broadcast(LimitsInForce(tuple(changed), tuple(ended)))",
         "            pass",
-        "chestnutfall.tests.test_limit_desk",
+        "chestnutfall.tests.test_limit_coordinator",
     ),
     Mutant(
         "plain upstreams are chosen without a turn",
--- a/properties/safeguards/quarantine_mutants.py
+++ b/properties/safeguards/quarantine_mutants.py
@@ -89,14 +89,14 @@
     ),
     Mutant(
         "a gateway that joins is not told of quarantines",
-        "chestnutfall/coordination/gateway_news.py",
+        "chestnutfall/coordination/gateway_broadcaster.py",
         "        if self._state.crashes.changes:\n",
         "        if False:\n",
         _KEEPER,
     ),
     Mutant(
         "an ended upstream serves until its heartbeat is late",
-        "chestnutfall/coordination/upstream_watch.py",
+        "chestnutfall/coordination/upstream_liveness.py",
         '        """\n        self._suspected.add(instance)\n\n    def serving',
         '        """\n\n    def serving',
         "chestnutfall.tests.test_fleet_leader",
