--- a/chestnutfall/tests/fakes/fake_control.py
+++ b/chestnutfall/tests/fakes/fake_control.py
@@ -1,4 +1,4 @@
-"""The real control service on one real replica, reached through a line that can fail."""
+"""The real control service on one real replica, reached through a connection that can fail."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class FakeControl:
-    """Controllers of an office."""
+    """The controllers of a fake deployment: one replica with its control service."""
 
     def __init__(self, seed: int) -> None:
         self.cluster = FakeCluster(seed, ("a",), ControlState)
         self.clock = self.cluster.clock
 
     async def start(self) -> None:
-        """Elect and begin the duties of the leader."""
+        """Elect the replica and start the leader's periodic work."""
         await self.cluster.bootstrap()
         replica = await self.cluster.leader()
         assert isinstance(replica.machine, ControlState)
@@ -39,7 +39,10 @@
         self._duties_task = asyncio.ensure_future(self.duties.run())
 
     async def change(self, patches: dict[str, Any], from_revision: int | None = None) -> Any:
-        """Make an operator's change."""
+        """Apply a configuration change as the admin and return the outcome.
+
+        The change is based on `from_revision`, or on the newest revision if that is None.
+        """
         revision = self.state.revision if from_revision is None else from_revision
         change_id = f"change {revision} {self.clock.now_ms()}"
         msg = ApplyChange(ADMIN_KEY, change_id, revision, json.dumps(patches), "", False)
@@ -48,13 +51,21 @@
         return await task
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop the periodic work and the replica."""
         self._duties_task.cancel()
         await self.cluster.stop()
 
 
 class FakeControlClient(ControlClient):
-    """A client whose line to the controllers can be cut or lose answers."""
+    """A client whose connection to the controllers can be cut or lose answers.
+
+    Attributes
+    ----------
+    cut : bool
+        Whether requests don't reach the controllers.
+    lose_answers : bool
+        Whether requests take effect but their answers are lost.
+    """
 
     def __init__(self, control: FakeControl, clock: Clock) -> None:
         super().__init__(["a"], clock)
--- a/chestnutfall/tests/test_answer_timer.py
+++ b/chestnutfall/tests/test_answer_timer.py
@@ -1,7 +1,7 @@
-"""An engine that leaves a part of its orders unanswered and carries them out late.
+"""The timeout for orders to an engine that leaves some of them unanswered.
 
-Callers wait for loads that nobody orders: the wait for each answer grows with every one that does
-not come, until the orders of that engine stand still.
+If each missing answer lengthened the timeout in full, the orders of that engine would come to a
+standstill, and callers would wait for loads that are never ordered.
 """
 
 from __future__ import annotations
--- a/chestnutfall/tests/test_configuration_in_force.py
+++ b/chestnutfall/tests/test_configuration_in_force.py
@@ -1,7 +1,7 @@
-"""An accepted configuration is in force everywhere within seconds and never reverts.
+"""An accepted configuration is in force everywhere within seconds and is never reverted.
 
-An auditor reads a grant as revoked while an entry host still honours it. Hosts are cut off, restart
-or get an answer from a controller that lags behind.
+Otherwise an auditor reads that a grant is revoked while a gateway still honours it. Gateways are
+cut off, restart, or get an answer from a controller that lags behind.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
         self.assertEqual(self.office.control.state.revision, 1)
 
     async def test_what_others_refer_to_can_not_go(self) -> None:
-        # The change touches one entry; what breaks is another, which it does not name.
+        # The change touches one entry and breaks another one, which refers to it.
         await self.office.control.change(_grant("a1"))
         cases = {
             "/callers/ana/adapters": {"adapters": {"a1": None}},
@@ -84,7 +84,8 @@
         self.assertIn("can't change", refused.reasons[0])
 
     async def test_gateway_that_is_cut_off_refuses_when_its_lease_is_over(self) -> None:
-        # Its grant may have been revoked meanwhile; for the length of an election it goes on.
+        # A grant may be revoked while the gateway is cut off, but an election must not interrupt
+        # service.
         gateway = self.office.gateway(0)
         gateway.client.cut = True
         await self.office.clock.advance(2500)
@@ -105,7 +106,7 @@
         self.assertTrue(gateway.agent.in_force())
 
     async def test_older_revision_is_never_applied(self) -> None:
-        # A controller that lost data, or lags, answers with an older revision.
+        # A controller that lost data or lags behind answers with an older revision.
         await self.office.control.change(_grant("a1"))
         await self.office.clock.advance(1000)
         agent = self.office.gateway(0).agent
--- a/chestnutfall/tests/test_control_server.py
+++ b/chestnutfall/tests/test_control_server.py
@@ -1,7 +1,6 @@
-"""What operators and upstreams get from a controller over HTTP.
+"""HTTP interface of a controller for operators and upstreams.
 
-An operator adds a region's routes, and the configuration is refused for good although it is valid,
-because something on its way reads no more than a megabyte.
+A valid configuration must not be refused because some component reads at most one megabyte.
 """
 
 from __future__ import annotations
@@ -47,8 +46,8 @@
     return json.dumps({"version": 3, "routes": made, "services": [SERVICE]}).encode()
 
 
-class _Desk(CurrentRelay):
-    """Notes what is asked, and gives one answer."""
+class _FakeRelay(CurrentRelay):
+    """Records the calls, and answers each with `answer`."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -62,8 +61,8 @@
 
 class ControlServerTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.desk = _Desk()
-        self.server = ControlServer(self.desk, DocumentJson())
+        self.relay = _FakeRelay()
+        self.server = ControlServer(self.relay, DocumentJson())
         self.address = free_address()
         await self.server.start(self.address)
         self.session = aiohttp.ClientSession()
@@ -81,7 +80,7 @@
         self.assertGreater(len(content), 2 * 1024 * 1024)
         status, _ = await self._call("PUT", "/v1/config", content)
         self.assertEqual(status, 200)
-        stored = self.desk.asked[0]
+        stored = self.relay.asked[0]
         assert isinstance(stored, StoreDocument)
         self.assertEqual((stored.version, decompress_document(stored.content)), (3, content))
 
@@ -90,32 +89,32 @@
         status, body = await self._call("PUT", "/v1/config", broken)
         self.assertEqual(status, 400)
         self.assertIn(b"/routes/0", body)
-        self.assertEqual(self.desk.asked, [])
+        self.assertEqual(self.relay.asked, [])
         self.assertEqual((await self._call("PUT", "/v1/config", _document(1)[:-5]))[0], 400)
 
-    async def test_answers_of_the_desk_become_statuses(self) -> None:
+    async def test_answers_of_the_relay_become_statuses(self) -> None:
         for answer, status in ((Accepted(), 200), (Rejected("x"), 409), (Unavailable(), 503)):
-            self.desk.answer = answer
+            self.relay.answer = answer
             with self.subTest(answer):
                 self.assertEqual((await self._call("PUT", "/v1/config", _document(1)))[0], status)
 
     async def test_the_document_is_read_back_or_not_known(self) -> None:
-        self.desk.answer = HeldDocument(3, compress_document(b"{}"))
+        self.relay.answer = HeldDocument(3, compress_document(b"{}"))
         self.assertEqual(await self._call("GET", "/v1/config"), (200, b"{}"))
-        self.desk.answer = HeldDocument(-1, b"")
+        self.relay.answer = HeldDocument(-1, b"")
         self.assertEqual((await self._call("GET", "/v1/config"))[0], 503)
-        self.desk.answer = Unavailable()
+        self.relay.answer = Unavailable()
         self.assertEqual((await self._call("GET", "/v1/config"))[0], 503)
-        self.assertIsInstance(self.desk.asked[0], ReadDocument)
+        self.assertIsInstance(self.relay.asked[0], ReadDocument)
 
     async def test_upstreams_and_versions(self) -> None:
-        told = {"service": "forms", "addr": "127.0.0.1:1", "zone": "dc", "state": "draining"}
-        told["seq"] = 4
-        await self._call("PUT", "/v1/instances/i-1", json.dumps(told).encode())
+        announced = {"service": "forms", "addr": "127.0.0.1:1", "zone": "dc", "state": "draining"}
+        announced["seq"] = 4
+        await self._call("PUT", "/v1/instances/i-1", json.dumps(announced).encode())
         await self._call("DELETE", "/v1/instances/i-1")
         named = {"model": "base", "adapter": "a1", "version": 4}
         await self._call("POST", "/v1/version-put", json.dumps(named).encode())
-        announce, depart, version = self.desk.asked
+        announce, depart, version = self.relay.asked
         assert isinstance(announce, Announce)
         self.assertTrue(announce.record.leaving)
         self.assertEqual(announce.number, 4)
--- a/chestnutfall/tests/test_crash_ledger.py
+++ b/chestnutfall/tests/test_crash_ledger.py
@@ -1,9 +1,9 @@
-"""Who is to blame when upstreams end under several requests at once.
+"""Which request is quarantined when upstreams end while they run several requests.
 
-A quick estimate is refused though it never hurt an engine: it was on three engines when another
-request ended them, and both were counted alike. Or nothing is refused, since a usual request that
-is on every engine was in as many ends as the guilty one. The first that is in three ends, and in
-more than each request beside it, explains them; whoever is answered is cleared.
+Two failures are possible. An innocent request is quarantined because it was on three engines when
+another request ended them. Or no request is, because a frequent request on every engine was part of
+as many ends as the one that causes them. The first request that is part of three ends, and of more
+than each request that ran together with it, explains them; a request that is answered is cleared.
 """
 
 from __future__ import annotations
@@ -44,9 +44,9 @@
         self._end("fatal")
         self.assertEqual(self._quarantined(), {"fatal"})
 
-    def test_those_beside_it_are_cleared_of_its_ends(self) -> None:
-        # It was resumed beside the fatal one twice. When its own upstream is lost much later,
-        # that is the first end that counts.
+    def test_other_requests_are_cleared_of_explained_ends(self) -> None:
+        # The other request was resumed together with the fatal one twice. When its own upstream
+        # ends much later, that is the first end that counts for it.
         self._end("fatal", "beside")
         self._end("fatal", "beside")
         self._end("fatal")
@@ -54,13 +54,13 @@
         self._end("beside")
         self.assertEqual(self._quarantined(), {"fatal"})
 
-    def test_what_was_on_its_way_at_the_quarantine_blames_nobody_else(self) -> None:
+    def test_in_flight_requests_of_a_quarantined_one_blame_no_other(self) -> None:
         for _ in range(3):
             self._end("fatal")
         for _ in range(5):
             self._end("fatal", "beside")
         self.assertEqual(self._quarantined(), {"fatal"})
-        # Reports of one end that come one after the other are one end.
+        # Reports of one end that arrive one after the other are one end.
         self.ledger.note_end("i8", ("late report",))
         self.assertFalse(self.ledger.implicates("late report"))
 
@@ -73,21 +73,21 @@
         self.assertEqual(self._quarantined(), {"fatal"})
         self.assertFalse(self.ledger.implicates("beside"))
 
-    def test_a_tie_is_left_to_the_next_end(self) -> None:
+    def test_a_tie_is_decided_by_the_next_end(self) -> None:
         for _ in range(3):
             self._end("fatal", "resumed with it")
         self.assertEqual(self._quarantined(), set())
         self._end("fatal")
         self.assertEqual(self._quarantined(), {"fatal"})
 
-    def test_two_that_share_every_end_are_both_held_in_the_end(self) -> None:
+    def test_two_requests_that_share_every_end_are_both_quarantined(self) -> None:
         for _ in range(4):
             self._end("one", "two")
         self.assertEqual(self._quarantined(), set())
         self._end("one", "two")
         self.assertEqual(self._quarantined(), {"one", "two"})
 
-    def test_an_answer_clears(self) -> None:
+    def test_a_complete_answer_clears(self) -> None:
         self._end("usual", "fatal")
         self._end("usual", "fatal")
         self.assertIn("usual", self.ledger.suspects().watched)
@@ -122,7 +122,7 @@
         self.assertLessEqual(len(self.ledger.offences), MAX_OFFENDERS)
         self.assertLessEqual(len(self.ledger.suspects().watched), MAX_WATCHED)
 
-    def test_a_snapshot_keeps_it(self) -> None:
+    def test_a_snapshot_keeps_the_ledger(self) -> None:
         state = ControlState()
         commands = (
             *(NoteUpstreamEnd(f"i{at}", ("fatal", "beside" * at)) for at in range(3)),
--- a/chestnutfall/tests/test_crash_monitor.py
+++ b/chestnutfall/tests/test_crash_monitor.py
@@ -1,9 +1,9 @@
-"""From what gateways see of broken answers to a quarantine that all of them keep.
+"""Quarantine of requests that end upstreams, from gateway reports to all gateways.
 
-A request ends engine after engine while gateways come and go and the leader changes; callers of
-other requests lose their engines each time. Two of its ends are seen by one leader and the third
-by the next, each through another gateway. And a rack that loses power ends many upstreams under
-the lookups that everybody sends, which must not be refused for it.
+A request ends one engine after the other while gateways connect and disconnect and the leader
+changes; other callers lose their engines each time. Its ends may be reported by different gateways
+to different leaders and still have to count together. A rack that loses power ends many upstreams
+while they run the most frequent requests, which must not be quarantined for it.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from .test_fleet_leader import REPEATS
 
 KNOWN_MS = 1_000
-"""A third of the time after which a gateway must know."""
+"""A third of the time within which every gateway has to know of a quarantine."""
 RUN_MS = 70
 
 
@@ -56,7 +56,7 @@
         return machine
 
 
-class CrashKeeperTest(_ClusterCase):
+class CrashMonitorTest(_ClusterCase):
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         replica = self.cluster.replicas[self.name]
@@ -70,15 +70,15 @@
     def _quarantined(self) -> set[str]:
         return set(self._state().crashes.quarantined)
 
-    async def test_broken_connections_to_a_process_that_lives_blame_nobody(self) -> None:
+    async def test_broken_connections_to_a_live_process_are_not_ends(self) -> None:
         for number in range(9):
             self.monitor.handle_report(_broken("usual", number, refuses=False))
             await self._pass()
         self.assertEqual(self._state().crashes.ends, {})
 
-    async def test_answers_that_broke_off_long_before_the_end_are_not_blamed(self) -> None:
-        # An upstream spoils an answer now and then; one second and more later it ends under
-        # another request, three times over.
+    async def test_answers_that_broke_off_long_before_the_end_are_not_suspects(self) -> None:
+        # An upstream sends a malformed answer now and then. More than a second later, it ends while
+        # it runs another request; this happens three times.
         for number in range(3):
             self.monitor.handle_report(_broken("spoiled", number, refuses=False))
             await self._pass(1_200)
@@ -87,16 +87,17 @@
         self.assertEqual(self._quarantined(), {"fatal"})
         self.assertEqual(self._state().crashes.suspects().watched, ())
 
-    async def test_another_incarnation_at_its_address_shows_that_it_ended(self) -> None:
-        # It was back before the gateway looked at its port.
+    async def test_another_incarnation_at_the_address_shows_the_end(self) -> None:
+        # The upstream was restarted before the gateway probed its port.
         for number in range(3):
             self.monitor.handle_report(_broken("fatal", number, refuses=False))
             self.monitor.address_reused(f"127.0.0.1:{9000 + number}", f"new-{number}")
             await self._pass()
         self.assertEqual(self._quarantined(), {"fatal"})
 
-    async def test_a_bystander_that_is_reported_first_is_not_held_instead(self) -> None:
-        # It was resumed beside the fatal one each time, and its gateway is the quicker one.
+    async def test_an_innocent_request_reported_first_is_not_quarantined(self) -> None:
+        # An innocent request was resumed together with the fatal one each time, and its gateway
+        # reports faster.
         for number in range(3):
             self.monitor.handle_report(_broken("beside", number))
             await self._pass(REPORT_COLLECTION_MS // 2)
@@ -107,18 +108,19 @@
         await self._pass()
         self.assertEqual(self._quarantined(), {"fatal"})
 
-    async def test_a_rack_that_ends_under_a_usual_lookup_counts_once(self) -> None:
+    async def test_simultaneous_ends_of_a_rack_count_once(self) -> None:
         for number in range(20):
             self.monitor.handle_report(_broken("usual", number))
         await self._pass(20 * POLL_MS + REPORT_COLLECTION_MS)
         self.assertEqual(len(self._state().crashes.ends), 20)
         self.assertEqual(self._quarantined(), set())
-        # Its callers repeat it at once, and one more upstream ends that had nothing to do with it.
+        # The callers repeat the request at once, and one more upstream ends for an unrelated
+        # reason.
         self.monitor.handle_report(_broken("usual", 20))
         await self._pass()
         self.assertEqual(self._quarantined(), set())
 
-    async def test_copies_one_after_the_other_count_each(self) -> None:
+    async def test_consecutive_ends_count_separately(self) -> None:
         for number in range(3):
             self.monitor.handle_report(_broken("fatal", number))
             await self.cluster.clock.advance(RUN_MS)
@@ -137,14 +139,14 @@
         await self._pass()
         self.assertEqual(self._quarantined(), {"fatal"})
 
-    async def test_what_could_not_be_committed_is_committed_later(self) -> None:
+    async def test_a_failed_commit_is_repeated(self) -> None:
         for number in range(3):
             self.monitor.handle_report(_broken("fatal", number))
             await self.cluster.clock.advance(RUN_MS)
         self.cluster.isolate(self.name)
         await self._pass(600)
         self.cluster.network.cuts.clear()
-        # The leader may have lost its term; its reports are not lost with one refused commit.
+        # The leader may have lost its term; a refused commit must not lose its reports.
         self.monitor._replica = await self.cluster.leader()
         self.name = self.monitor._replica.replica_id
         self.monitor._state = self._state()
@@ -185,71 +187,73 @@
             term.add_gateway(session, -1)
         return sessions
 
-    def _tell(self, session: GatewaySession, report: Any) -> None:
+    def _report(self, session: GatewaySession, report: Any) -> None:
         term = self.leaders[self.name].leading()
         assert term is not None
         term.handle(session, report)
 
     @staticmethod
-    def _held(session: GatewaySession) -> set[str]:
-        held: set[str] = set()
+    def _quarantined_for(session: GatewaySession) -> set[str]:
+        quarantined: set[str] = set()
         while not session.out.empty():
             msg = session.out.get_nowait()
             if isinstance(msg, SuspectRequests):
-                held = {one.fingerprint for one in msg.quarantined}
-        return held
+                quarantined = {one.fingerprint for one in msg.quarantined}
+        return quarantined
 
-    async def test_every_gateway_knows_however_many_there_are(self) -> None:
+    async def test_every_gateway_receives_the_quarantine(self) -> None:
         for gateways in (9, 91, 195, 410):
             with self.subTest(gateways):
                 sessions = self._join(gateways)
                 fatal = f"fatal-{gateways}"
                 for number in range(3):
                     report = _broken(fatal, gateways * 10 + number)
-                    self._tell(sessions[number * (gateways // 3)], report)
+                    self._report(sessions[number * (gateways // 3)], report)
                     await self._advance(RUN_MS + 30)
                 await self._advance(KNOWN_MS)
-                self.assertEqual([fatal in self._held(one) for one in sessions], [True] * gateways)
+                self.assertEqual(
+                    [fatal in self._quarantined_for(one) for one in sessions], [True] * gateways
+                )
 
     async def test_ends_before_and_after_a_change_of_leader_count_together(self) -> None:
         (first,) = self._join(1)
         for number in range(2):
-            self._tell(first, _broken("fatal", number))
+            self._report(first, _broken("fatal", number))
             await self._advance(KNOWN_MS)
         await self.cluster.crash(self.name)
         self.name = (await self.cluster.leader()).replica_id
         await self._advance(500)
         (second,) = self._join(1)
-        self._tell(second, _broken("fatal", 2))
+        self._report(second, _broken("fatal", 2))
         await self._advance(KNOWN_MS)
-        self.assertEqual(self._held(second), {"fatal"})
-        # A gateway that has just started is told at once.
+        self.assertEqual(self._quarantined_for(second), {"fatal"})
+        # A newly connected gateway gets the quarantine at once.
         (third,) = self._join(1)
-        self.assertEqual(self._held(third), {"fatal"})
+        self.assertEqual(self._quarantined_for(third), {"fatal"})
 
-    async def test_a_report_told_again_to_a_new_leader_is_the_same_end(self) -> None:
+    async def test_a_repeated_report_is_the_same_end(self) -> None:
         (first,) = self._join(1)
         for _ in range(5):
-            self._tell(first, _broken("usual", 1))
+            self._report(first, _broken("usual", 1))
             await self._advance(KNOWN_MS)
-        self.assertEqual(self._held(first), set())
+        self.assertEqual(self._quarantined_for(first), set())
 
-    async def test_an_answer_anywhere_ends_the_quarantine(self) -> None:
+    async def test_a_complete_answer_at_any_gateway_ends_the_quarantine(self) -> None:
         sessions = self._join(2)
         for number in range(3):
-            self._tell(sessions[0], _broken("usual", number))
+            self._report(sessions[0], _broken("usual", number))
             await self._advance(KNOWN_MS)
-        self.assertEqual(self._held(sessions[1]), {"usual"})
-        self._tell(sessions[1], AnsweredRun("usual"))
+        self.assertEqual(self._quarantined_for(sessions[1]), {"usual"})
+        self._report(sessions[1], AnsweredRun("usual"))
         await self._advance(KNOWN_MS)
-        self.assertEqual([self._held(one) for one in sessions], [set(), set()])
+        self.assertEqual([self._quarantined_for(one) for one in sessions], [set(), set()])
         self.assertEqual(self._state().crashes.offences, {})
 
 
 class ReportsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_reports_from_the_time_without_a_leader_reach_the_next_one(self) -> None:
-        # An engine ends while the leader does too. The gateway's report must not be lost with the
-        # stream, and must say how long ago that was when the next leader reads it.
+    async def test_reports_made_without_a_leader_reach_the_next_one(self) -> None:
+        # An engine and the leader end at the same time. The gateway's report must not be lost with
+        # the stream, and has to contain its age when the next leader receives it.
         clock = ManualClock()
         client = FleetClient("g", (), FleetKnowledge(DocumentJson(), clock), clock)
         client.report(_broken("old", 1))
@@ -258,5 +262,5 @@
         client.report(AnsweredRun("usual"))
         await clock.advance(1_500)
         client._on_connected("127.0.0.1:1")
-        told = [client._out.get_nowait() for _ in range(client._out.qsize())]
-        self.assertEqual(told, [_broken("fatal", 2, age_ms=1_505), AnsweredRun("usual")])
+        sent = [client._out.get_nowait() for _ in range(client._out.qsize())]
+        self.assertEqual(sent, [_broken("fatal", 2, age_ms=1_505), AnsweredRun("usual")])
--- a/chestnutfall/tests/test_engine_orders.py
+++ b/chestnutfall/tests/test_engine_orders.py
@@ -1,9 +1,8 @@
 """Orders whose answers are lost and that engines carry out seconds later.
 
-Callers wait, and then get nothing: an engine that is told to load one adapter more than fits
-crashes with all its requests. The engine leaves an order unanswered, takes its repeat, and
-carries out the first one seconds later; every order names how many were taken before it, so the
-late one no longer fits.
+An engine that is ordered to load one adapter too many crashes with all its requests. This happens
+if it leaves an order unanswered, takes the repeated order, and carries out the first one seconds
+later. Each order names how many the engine took before it, so the late one is refused.
 """
 
 from __future__ import annotations
@@ -24,7 +23,29 @@
 
 
 class _LateEngine(EngineControl):
-    """Takes orders if their count fits; those listed in `unanswered` only later."""
+    """Takes orders whose count matches.
+
+    Attributes
+    ----------
+    taken : list of str
+        Adapters that were ordered and taken, in order.
+    calls : int
+        Number of orders received; the sets below contain such numbers.
+    unanswered : set of int
+        Orders that are not answered and not taken until `carry_out_late`.
+    busy : set of int
+        Orders that are refused with a conflict.
+    taken_unanswered : set of int
+        Orders that are taken but not answered.
+    unloading : str
+        Adapter that is still held after its unload was taken.
+    started_ms : int
+        Start time in reports.
+    too_many : bool
+        Whether a load arrived while `unloading` was still held.
+    late : list of (str, int)
+        Adapters of unanswered orders with their counts.
+    """
 
     def __init__(self) -> None:
         self.taken: list[str] = []
@@ -102,7 +123,7 @@
         self.engine.carry_out_late()
         self.assertEqual(self.engine.taken, ["a1", "a2"])
 
-    async def test_an_order_that_ran_without_an_answer_is_found_in_the_report(self) -> None:
+    async def test_an_unanswered_order_that_ran_is_found_in_the_report(self) -> None:
         self.engine.taken_unanswered = {1}
         self._load("a1")
         await self.clock.advance(1_000)
@@ -119,8 +140,9 @@
         self.assertEqual(self.engine.taken, ["a1"])
 
     async def test_a_count_that_was_too_high_is_corrected(self) -> None:
-        # Requests for all adapters but those on the engine wait until they are refused: the
-        # engine refuses every order, and its reports look older than the last one for ever.
+        # If the count were not corrected, the engine would refuse every order and its reports would
+        # always look older than the last one. Requests for adapters that it does not hold would
+        # wait until they are refused.
         self.orders._orders_taken = 5
         self._load("a1")
         await self.clock.advance(2_000)
@@ -128,36 +150,36 @@
         await self.clock.advance(500)
         self.assertEqual(self.engine.taken, ["a2"])
 
-    async def test_an_unanswered_order_under_too_high_a_count_keeps_a_place_free(self) -> None:
-        # An order was answered as taken and not counted. The next one, under a count that the
-        # engine has not reached, is left unanswered, and is carried out when the count is: one
-        # adapter too many, unless a place was left for it.
+    async def test_an_unanswered_order_with_too_high_a_count_reserves_a_slot(self) -> None:
+        # An order was answered as taken but not counted. The next one carries a count that the
+        # engine has not reached; it is left unanswered and carried out once the count is reached.
+        # That is one adapter too many, unless a slot is reserved for it.
         self.orders._orders_taken = 2
         self.engine.unanswered = {1}
         self._load("late")
         await self.clock.advance(2_000)
         engine = self.placer.engines["i1"]
         self.assertTrue(engine.has_stray_order)
-        self.assertFalse(self._takes_loads(SPEC.adapter_slots))
+        self.assertFalse(self._accepts_loads(SPEC.adapter_slots))
         self._load("a1")
         await self.clock.advance(100)
         self.assertTrue(engine.has_stray_order)
         self._load("a2")
         await self.clock.advance(100)
         self.assertFalse(engine.has_stray_order)
-        self.assertTrue(self._takes_loads(SPEC.adapter_slots))
+        self.assertTrue(self._accepts_loads(SPEC.adapter_slots))
 
-    def _takes_loads(self, held: int) -> bool:
+    def _accepts_loads(self, held: int) -> bool:
         engine = self.placer.engines["i1"]
         now_ms = self.clock.now_ms()
         names = [AdapterName("base", f"held{number}") for number in range(held)]
         engine.holdings = {name: Holding(1, now_ms, confirmed=True) for name in names}
         return engine.can_load_more(now_ms)
 
-    async def test_nothing_is_ordered_by_the_report_of_a_later_life(self) -> None:
-        # The engine crashed and started again under its name; nobody announced that yet. Its
-        # report shows free places under a count that began anew, and orders that are counted
-        # on from there would be those of somebody who does not know what it holds.
+    async def test_nothing_is_ordered_from_the_report_of_a_restarted_engine(self) -> None:
+        # The engine crashed and restarted under its name, and has not announced that yet. Its
+        # report shows free slots, and a count that started again. Orders with that count would be
+        # based on a wrong idea of what it holds.
         self.engine.started_ms = 5
         self.placer.engines["i1"].synced = False
         self._load("a1")
@@ -166,9 +188,9 @@
         self.assertFalse(self.placer.engines["i1"].synced)
 
     async def test_nothing_is_loaded_before_a_used_adapter_is_dropped(self) -> None:
-        # An engine crashes with all its requests: it was told to hold one adapter too many. It
-        # lets the last requests of an adapter end before it drops it; the leader did not know
-        # of them, since they were placed by its predecessor.
+        # An engine that is ordered to hold one adapter too many crashes with all its requests. It
+        # drops an adapter only after the adapter's last requests end, and the leader does not know
+        # of those that its predecessor placed.
         self.orders.submit(UnloadAdapter("i1", AdapterName("base", "old")))
         self._load("a1")
         await self.clock.advance(900)
--- a/chestnutfall/tests/test_fleet_leader.py
+++ b/chestnutfall/tests/test_fleet_leader.py
@@ -1,8 +1,8 @@
-"""A gateway and a leading controller over the real replicated log, without a network.
+"""A gateway and a leading controller on the real replicated log, without a network.
 
-A contractor's urgent lookup goes to an engine that said a second ago that it leaves, or an auditor
-reads a configuration that is older than one already acknowledged. The leader commits departures
-and documents before it acknowledges them, and a leader that was cut off acknowledges nothing.
+The leader commits departures and documents before it acknowledges them, and a leader that is cut
+off acknowledges nothing. Otherwise a request is sent to an engine that has announced that it
+leaves, or an auditor reads a configuration that is older than an acknowledged one.
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
         await self.cluster.bootstrap()
         self.engines = TakingEngines()
         self.leaders: dict[str, FleetLeader] = {}
-        self.desks: dict[str, LeaderRelay] = {}
+        self.relays: dict[str, LeaderRelay] = {}
         self.tasks: list[asyncio.Task[None]] = []
         for name, replica in self.cluster.replicas.items():
             state = replica.machine
@@ -84,10 +84,10 @@
             leader = FleetLeader(
                 replica, state, DocumentJson(), self.engines, clock, 1000, REPEATS, STRICT
             )
-            keeper = GroupManager(replica, state, clock, 1)
+            group = GroupManager(replica, state, clock, 1)
             self.leaders[name] = leader
-            self.desks[name] = LeaderRelay(replica, state, leader, keeper, clock)
-            self.tasks += [asyncio.ensure_future(one.run()) for one in (leader, keeper)]
+            self.relays[name] = LeaderRelay(replica, state, leader, group, clock)
+            self.tasks += [asyncio.ensure_future(one.run()) for one in (leader, group)]
         self.name = (await self.cluster.leader()).replica_id
         await self.cluster.clock.advance(500)
 
@@ -97,7 +97,7 @@
         await self.cluster.stop()
 
     async def _ask(self, msg: Any, name: str = "") -> Any:
-        asked = asyncio.ensure_future(self.desks[name or self.name].answer(msg))
+        asked = asyncio.ensure_future(self.relays[name or self.name].answer(msg))
         for _ in range(40):
             await self.cluster.clock.advance(25)
             if asked.done():
@@ -134,8 +134,8 @@
         return [msg for msg in found if isinstance(msg, kind)]
 
     @staticmethod
-    def _told(session: GatewaySession, before: set[str] | None = None) -> set[str]:
-        """Upstreams that a gateway knows after all that was sent to it."""
+    def _known_upstreams(session: GatewaySession, before: set[str] | None = None) -> set[str]:
+        """Return the upstreams that a gateway knows after all messages in its queue."""
         known = KnownUpstreams()
         instances = {one: UpstreamRecord(one, "", "", "") for one in before or ()}
         known.apply(UpstreamsChange(tuple(instances.values()), ()))
@@ -145,25 +145,25 @@
                 known.apply(msg)
         return known.instances()
 
-    async def test_an_engine_that_ended_gets_no_more_work_until_it_is_heard_again(self) -> None:
-        # Answers broke off and its port is closed. Others that ask for its adapters must not be
-        # sent there for the seconds in which its last heartbeat still counts.
+    async def test_an_engine_that_ended_gets_no_work_until_its_next_heartbeat(self) -> None:
+        # Answers of the engine broke off and its port is closed. Requests for its adapters must not
+        # be sent there for the seconds in which its last heartbeat is still valid.
         await self._ask(StoreDocument(3, compress_document(_document(3))))
         for name in ("e1", "e2"):
             await self._announce(name, 1)
         session = self._join()
         term = self.leaders[self.name].leading()
         assert term is not None
-        known = self._told(session)
+        known = self._known_upstreams(session)
         for refuses, serving in ((False, {"e1", "e2"}), (True, {"e2"})):
             with self.subTest(refuses):
                 term.handle(session, BrokenRun("r", "e1", "127.0.0.1:e1", refuses, 90, 5))
                 await self.cluster.clock.advance(25)
                 await self.cluster.clock.advance(25)
-                known = self._told(session, known)
+                known = self._known_upstreams(session, known)
                 self.assertEqual(known, serving)
         await self._announce("e1", 2)
-        self.assertEqual(self._told(session, known), {"e1", "e2"})
+        self.assertEqual(self._known_upstreams(session, known), {"e1", "e2"})
 
     async def test_documents_are_acknowledged_once_committed_and_pushed(self) -> None:
         session = self._join()
@@ -180,24 +180,24 @@
         self.assertIsInstance(held, HeldDocument)
         self.assertEqual(decompress_document(held.content), _document(3))
 
-    async def test_many_documents_in_a_row_reach_gateways_as_the_newest(self) -> None:
-        # Operators send sixteen versions a second; on the links of ninety gateways they queue
-        # up, and requests are handled by an old one for seconds.
+    async def test_of_many_documents_gateways_get_the_newest(self) -> None:
+        # Operators store sixteen versions per second. If each were sent, they would queue up on the
+        # links of ninety gateways, which would apply old ones for seconds.
         session = self._join()
         for version in range(1, 13):
             asked = asyncio.ensure_future(
-                self.desks[self.name].answer(
+                self.relays[self.name].answer(
                     StoreDocument(version, compress_document(_document(version)))
                 )
             )
             await self.cluster.clock.advance(50)
             self.assertEqual(await asked, Accepted())
         await self.cluster.clock.advance(400)
-        told = [msg.version for msg in self._messages(session, PutInForce)]
-        self.assertEqual((told[-1], told), (12, sorted(told)))
-        self.assertLess(len(told), 7)
+        versions = [msg.version for msg in self._messages(session, PutInForce)]
+        self.assertEqual((versions[-1], versions), (12, sorted(versions)))
+        self.assertLess(len(versions), 7)
 
-    async def test_a_leader_that_was_cut_off_acknowledges_and_reads_nothing(self) -> None:
+    async def test_a_cut_off_leader_acknowledges_and_reads_nothing(self) -> None:
         await self._ask(StoreDocument(3, compress_document(_document(3))))
         self.cluster.isolate(self.name)
         await self.cluster.clock.advance(1_500)
@@ -209,55 +209,56 @@
         await self._announce("1", 1)
         await self.cluster.clock.advance(MIN_UPDATE_INTERVAL_MS)
         session = self._join()
-        self.assertEqual(self._told(session), {"1"})
+        self.assertEqual(self._known_upstreams(session), {"1"})
         self.assertEqual(await self._announce("1", 2, leaving=True), Accepted())
-        self.assertEqual(self._told(session, {"1"}), set())
+        self.assertEqual(self._known_upstreams(session, {"1"}), set())
         await self._announce("1", 1)
         self.assertEqual(self._messages(session, UpstreamsChange), [])
 
     async def test_an_engine_that_restarts_under_its_name_serves_again(self) -> None:
-        # The engine crashes, and its next life counts its announcements anew. Taken for the life
-        # before it would never be heard again, and its requests would go to adapters that it
-        # does not hold any more. A late announcement of the life before changes nothing.
+        # The engine crashes, and its next incarnation numbers its announcements from the start. If
+        # it were taken for the previous one, its announcements would be ignored as old, and
+        # requests would be sent to it for adapters that it lost. A late announcement of the
+        # previous incarnation changes nothing.
         await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 50, started_ms=1_000)
         session = self._join()
         await self._announce("1", 1, started_ms=2_000)
         await self._announce("1", 51, started_ms=1_000)
         await self.cluster.clock.advance(300)
-        self.assertEqual(self._told(session), {"1~2000"})
+        self.assertEqual(self._known_upstreams(session), {"1~2000"})
 
-    async def test_a_departure_without_a_start_is_that_of_the_latest(self) -> None:
+    async def test_a_departure_without_a_start_time_is_of_the_latest_start(self) -> None:
         await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 1, started_ms=1_000)
         await self._announce("1", 1, started_ms=2_000)
         session = self._join()
         self.assertEqual(await self._ask(Depart("1")), Accepted())
         await self._announce("1", 2, started_ms=2_000)
-        self.assertEqual(self._told(session), set())
+        self.assertEqual(self._known_upstreams(session), set())
 
-    async def test_an_entry_of_an_unknown_service_takes_no_address(self) -> None:
-        # Another writer announces the address of an engine that serves, under a service that no
-        # document names. Heard last, it would have the address, and the engine no work.
+    async def test_an_upstream_of_an_unknown_service_takes_no_address(self) -> None:
+        # Another program announces the address of a serving engine under a service that no document
+        # contains. If it got the address as the newest announcement, the engine would get no work.
         await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 1)
         session = self._join()
         record = UpstreamRecord("ghost", "nowhere", "127.0.0.1:1", "dc")
         self.assertEqual(await self._ask(Announce(record, 1, None)), Accepted())
         await self.cluster.clock.advance(300)
-        self.assertEqual(self._told(session), {"1"})
+        self.assertEqual(self._known_upstreams(session), {"1"})
 
-    async def test_a_successor_knows_who_left(self) -> None:
+    async def test_the_next_leader_knows_which_upstreams_left(self) -> None:
         await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 1)
         self.assertEqual(await self._ask(Depart("1")), Accepted())
         await self._depose()
         session = self._join()
-        self.assertEqual(self._told(session), set())
+        self.assertEqual(self._known_upstreams(session), set())
 
-    async def test_a_successor_knows_how_fast_engines_are(self) -> None:
-        # All hosts lost power, and everyone waits. A leader that begins with guesses has engines
-        # that read twice as fast stand half idle for its first seconds.
+    async def test_the_next_leader_knows_how_fast_engines_are(self) -> None:
+        # After all hosts lost power, all callers wait. A leader that starts with default values
+        # would leave engines that process prompts twice as fast half idle for its first seconds.
         await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 1)
         await self.cluster.clock.advance(300)
@@ -278,7 +279,7 @@
         self.assertLess(schedule.ms_per_token, EngineKind().ms_per_token / 1.4)
 
     async def _depose(self) -> None:
-        """Cut off the leader, and wait for a successor."""
+        """Cut off the leader and wait for the next one."""
         self.cluster.isolate(self.name)
         old = self.name
         while self.name == old:
@@ -294,9 +295,9 @@
             session, PlaceRequest(ticket, "drafts", name, prompt_tokens, 5, (), 1, 500, 4000, "dc")
         )
 
-    async def test_only_a_leader_that_is_certain_to_lead_gives_out_repeats(self) -> None:
-        # A leader that was cut off goes on answering gateways that still reach it. Its successor
-        # gives out the same repeats, and engines get twice as many as the bound allows.
+    async def test_only_a_leader_that_can_decide_grants_repeats(self) -> None:
+        # A leader that is cut off still answers the gateways that reach it. If both it and its
+        # successor granted repeats, engines would get twice as many as the bound allows.
         await self.cluster.clock.advance(REPEATS.window_ms)
         session = self._join()
         term = self.leaders[self.name].leading()
@@ -325,7 +326,7 @@
         leading.handle(session, Release("t1", "done"))
         self.assertEqual(session.tickets, {"t2"})
 
-    async def test_a_named_version_is_loaded_and_asked_for(self) -> None:
+    async def test_a_required_version_is_loaded_and_granted(self) -> None:
         await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 1)
         self.assertEqual(await self._ask(StoreVersion("base", "a1", 4)), Accepted())
--- a/chestnutfall/tests/test_gateway_broadcaster.py
+++ b/chestnutfall/tests/test_gateway_broadcaster.py
@@ -1,8 +1,8 @@
-"""What the leader tells gateways of engines' adapters, and how much that is.
+"""Holdings that the leader sends to gateways, and their size.
 
-Many gateways before engines with few places for adapters: adapters come and go all the time. What
-gateways know of them decides whether callers are served in the second without a leader; what it
-costs goes over the link of every gateway, all day.
+With many gateways and engines with few adapter slots, adapters come and go all the time. What
+gateways know of them decides whether callers are served while there is no leader, but each message
+uses the link of every gateway.
 """
 
 from __future__ import annotations
@@ -42,13 +42,13 @@
         }
         for engine in self.held:
             self.placer.engine_up(engine, "s", "dc", SPEC)
-        self._lead()
+        self._start_leader()
 
     @staticmethod
     def _name(*parts: int) -> AdapterName:
         return AdapterName("base", "a" + "-".join(map(str, parts)))
 
-    def _lead(self) -> None:
+    def _start_leader(self) -> None:
         self.broadcaster = GatewayBroadcaster(
             self.sessions,
             ControlState(),
@@ -57,7 +57,7 @@
             self.clock,
         )
 
-    def _tell(self, ms: int) -> None:
+    def _send(self, ms: int) -> None:
         for engine, held in self.held.items():
             self.placer.engine_reported(engine, EngineReport({"base": 1}, dict(held), {}, 0))
         self.clock._now_ms += ms
@@ -79,42 +79,42 @@
             for name in names
         )
 
-    def test_what_lasts_is_known_within_two_looks(self) -> None:
-        self._tell(HOLDINGS_INTERVAL_MS)
-        self._tell(HOLDINGS_INTERVAL_MS)
+    def test_lasting_holdings_are_known_within_two_intervals(self) -> None:
+        self._send(HOLDINGS_INTERVAL_MS)
+        self._send(HOLDINGS_INTERVAL_MS)
         self.assertEqual(self._known(), ENGINES * SLOTS)
 
-    def test_what_is_dropped_is_forgotten_at_the_next_look(self) -> None:
-        self._tell(HOLDINGS_INTERVAL_MS)
-        self._tell(HOLDINGS_INTERVAL_MS)
+    def test_dropped_holdings_are_removed_after_one_interval(self) -> None:
+        self._send(HOLDINGS_INTERVAL_MS)
+        self._send(HOLDINGS_INTERVAL_MS)
         gone = self.held["e0"].popitem()[0]
-        self._tell(HOLDINGS_INTERVAL_MS)
+        self._send(HOLDINGS_INTERVAL_MS)
         self.assertEqual(list(self.holders.of(gone)), [])
 
     def test_adapters_that_come_and_go_cost_little(self) -> None:
-        # Each engine loads four adapters a second; two of its seven places keep what is popular.
+        # Each engine loads four adapters per second; two of its seven slots keep popular ones.
         rng = random.Random(1)
-        self._tell(HOLDINGS_INTERVAL_MS)
-        self._tell(HOLDINGS_INTERVAL_MS)
+        self._send(HOLDINGS_INTERVAL_MS)
+        self._send(HOLDINGS_INTERVAL_MS)
         self.bytes = 0
         for number in range(20_000, 20_040):
             for at, held in enumerate(self.held.values()):
                 held.pop(rng.choice([name for name in held if name.adapter[-1] not in "01"]))
                 held[self._name(number, at, 9)] = 1
-            self._tell(250)
+            self._send(250)
         self.assertLess(self.bytes / 10, 2_500)
         self.assertGreaterEqual(self._known(), 2 * ENGINES)
 
-    def test_a_new_leader_takes_nothing_away_before_it_knows_better(self) -> None:
-        # Two leaders fail within a second. What gateways knew from the first must last over the
-        # second, which had read no engine's report yet.
-        self._tell(HOLDINGS_INTERVAL_MS)
-        self._tell(HOLDINGS_INTERVAL_MS)
-        self._lead()
+    def test_a_new_leader_keeps_earlier_holdings_until_it_has_its_own(self) -> None:
+        # Two leaders fail within a second. The holdings that the first one sent must stay known
+        # while the second one, which has read no reports yet, leads.
+        self._send(HOLDINGS_INTERVAL_MS)
+        self._send(HOLDINGS_INTERVAL_MS)
+        self._start_leader()
         self.broadcaster.send_initial_state(self.session, 0)
-        self._tell(HOLDINGS_INTERVAL_MS)
+        self._send(HOLDINGS_INTERVAL_MS)
         self.assertEqual(self._known(), ENGINES * SLOTS)
         self.held["e0"].clear()
-        self._tell(HOLDINGS_INTERVAL_MS)
+        self._send(HOLDINGS_INTERVAL_MS)
         self.assertEqual(self._known(), (ENGINES - 1) * SLOTS)
         self.assertEqual(len(list(self.holders.of(self._name(0, 0)))), 0)
--- a/chestnutfall/tests/test_group_joiner.py
+++ b/chestnutfall/tests/test_group_joiner.py
@@ -1,8 +1,7 @@
-"""A host that lost its disk asks to join while a controller leads that its settings don't name.
+"""A host that lost its disk joins while a controller leads that its settings don't name.
 
-Operators find no controller that answers, and the configuration is gone for good: the host never
-became a member again, and the next loss took the majority. The controllers that the settings name
-know the leader, and the joiner must go on to it.
+The controllers that the settings name know the leader, and the joiner has to ask it. Otherwise the
+host never becomes a member again, the next loss takes the majority, and the configuration is lost.
 """
 
 from __future__ import annotations
@@ -18,8 +17,8 @@
 from .fakes import FakeCluster
 
 
-class _Desk(LeaderRelay):
-    """Answers for the controllers named in `answers`."""
+class _FakeRelay(LeaderRelay):
+    """Answers for the controllers named in `answers`; any other is unavailable."""
 
     def __init__(self, answers: dict[str, Any]) -> None:
         self.answers = answers
@@ -32,16 +31,16 @@
 
 
 class GroupJoinerTest(unittest.IsolatedAsyncioTestCase):
-    async def test_the_word_on_who_leads_is_followed(self) -> None:
+    async def test_the_named_leader_is_asked(self) -> None:
         cluster = FakeCluster(1, ("a",))
         await cluster.bootstrap()
         cluster.add_blank("new")
-        desk = _Desk({"first": Unavailable("leader"), "leader": Accepted()})
+        relay = _FakeRelay({"first": Unavailable("leader"), "leader": Accepted()})
         replica = cluster.replicas["new"]
         self.assertNotIn(Member("new", "new"), replica.members)
-        joiner = GroupJoiner(replica, desk, cluster.clock, "new", ("down", "first", "new"))
+        joiner = GroupJoiner(replica, relay, cluster.clock, "new", ("down", "first", "new"))
         asking = asyncio.ensure_future(joiner.run())
         await cluster.clock.advance(600)
-        self.assertEqual(desk.asked, ["down", "first", "leader"])
+        self.assertEqual(relay.asked, ["down", "first", "leader"])
         asking.cancel()
         await cluster.stop()
--- a/chestnutfall/tests/test_group_manager.py
+++ b/chestnutfall/tests/test_group_manager.py
@@ -1,8 +1,8 @@
-"""The group of controllers grows to what the tolerated losses need, and replaces the lost.
+"""The group of controllers grows to the required size and replaces lost members.
 
-An acknowledged change is lost when more hosts fail than the group has spare replicas. So nothing
-is acknowledged before the group is whole, and a voter that is gone gives its vote to a newcomer
-that has caught up, also while another one is down.
+An acknowledged change is lost if more hosts fail than the group has spare replicas. So nothing is
+acknowledged before the group is complete, and a lost voter is replaced by a learner that has caught
+up, even while another voter is down.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from .fakes import FakeCluster
 
 
-class GroupKeeperTest(unittest.IsolatedAsyncioTestCase):
+class GroupManagerTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.cluster = FakeCluster(3, ("a", "b", "c"), ControlState)
         await self.cluster.bootstrap()
         self.joining: set[str] = set()
-        self.keeping: dict[str, asyncio.Task[None]] = {}
-        self.keepers: dict[str, GroupManager] = {}
-        self._keep(await self.cluster.leader())
+        self.tasks: dict[str, asyncio.Task[None]] = {}
+        self.managers: dict[str, GroupManager] = {}
+        self._start_manager(await self.cluster.leader())
 
     async def asyncTearDown(self) -> None:
         await self.cluster.stop()
 
-    def _keep(self, replica: Replica) -> None:
+    def _start_manager(self, replica: Replica) -> None:
         name = replica.replica_id
         state = replica.machine
         assert isinstance(state, ControlState)
-        self.keepers[name] = GroupManager(replica, state, self.cluster.clock, 2)
-        self.keeping[name] = asyncio.ensure_future(self.keepers[name].run())
+        self.managers[name] = GroupManager(replica, state, self.cluster.clock, 2)
+        self.tasks[name] = asyncio.ensure_future(self.managers[name].run())
 
     def _add(self, *names: str) -> None:
         for name in names:
@@ -44,10 +44,10 @@
     async def _pass_ms(self, ms: int) -> None:
         for _ in range(ms // 100):
             leader = await self.cluster.leader()
-            if leader.replica_id not in self.keepers:
-                self._keep(leader)
+            if leader.replica_id not in self.managers:
+                self._start_manager(leader)
             for name in self.joining:
-                self.keepers[leader.replica_id].register_joiner(JoinGroup(name, name))
+                self.managers[leader.replica_id].register_joiner(JoinGroup(name, name))
             await self.cluster.clock.advance(100)
 
     async def _members(self) -> dict[str, bool]:
@@ -59,7 +59,7 @@
         assert isinstance(state, ControlState)
         return state.group_complete
 
-    async def test_nothing_is_complete_before_all_voters_are_there(self) -> None:
+    async def test_the_group_is_complete_only_with_all_voters(self) -> None:
         self._add("d")
         await self._pass_ms(2_000)
         self.assertEqual(await self._members(), dict.fromkeys("abcd", True))
@@ -69,7 +69,7 @@
         self.assertEqual(await self._members(), dict.fromkeys("abcde", True))
         self.assertTrue(await self._is_complete())
 
-    async def test_a_newcomer_replaces_a_lost_voter_while_another_is_down(self) -> None:
+    async def test_a_learner_replaces_a_lost_voter_while_another_is_down(self) -> None:
         self._add("d", "e")
         await self._pass_ms(2_000)
         leader = (await self.cluster.leader()).replica_id
