--- a/benchmarks/log_slopes.py
+++ b/benchmarks/log_slopes.py
@@ -61,7 +61,7 @@
             10**9,
         )
         replica.start()
-        while not replica.can_decide():
+        while not replica.is_active_leader():
             await asyncio.sleep(0.05)
         numbers = iter(range(count))
 
--- a/chestnutfall/consensus/__init__.py
+++ b/chestnutfall/consensus/__init__.py
@@ -1,4 +1,4 @@
-"""A replicated log: elections, leader lease, replication, snapshots, membership."""
+"""A replicated log (Raft): elections, leader lease, replication, snapshots, membership changes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from .replica import Replica
 from .snapshot import Snapshot
 from .state_machine import StateMachine
-from .storage import Storage, Stored
+from .storage import Storage, StoredState
 from .timing import Timing
 from .transport import Transport
 
@@ -23,7 +23,7 @@
     "StateMachine",
     "Storage",
     "StorageFailed",
-    "Stored",
+    "StoredState",
     "Timing",
     "Transport",
 ]
--- a/chestnutfall/consensus/campaign.py
+++ b/chestnutfall/consensus/campaign.py
@@ -1,4 +1,4 @@
-"""Asking for votes."""
+"""Collecting votes for a candidate."""
 
 from __future__ import annotations
 
@@ -13,7 +13,21 @@
 
 
 async def collect_votes(replica: Replica, term: int, pre: bool, transfer: bool) -> bool:
-    """Whether a majority of the voters would elect, or (not `pre`) elects, `replica` in `term`."""
+    """Ask every voter for its vote and return whether a majority granted it.
+
+    The result is known as soon as a majority has granted its vote; requests still in progress
+    are then cancelled. A voter that can't be reached counts as a refusal. A reply with a later
+    term makes `replica` adopt that term.
+
+    Parameters
+    ----------
+    term : int
+        Term to be elected in.
+    pre : bool
+        Only ask whether the votes would be granted; no voter changes its state (pre-vote).
+    transfer : bool
+        The leader asked `replica` to take over, so voters in contact with it may still vote.
+    """
     voters = [member for member in replica.members if member.voter]
     last_index, last_term = replica.log.last_index, replica.log.last_term
 
@@ -24,13 +38,13 @@
             member.replica_id, replica.replica_id, term, last_index, last_term, pre, transfer
         )
         try:
-            reply = await replica.transport.call(member, req, replica.timing.call_ms)
+            reply = await replica.transport.call(member, req, replica.timing.call_timeout_ms)
         except ConnectionError:
             return False
         if not isinstance(reply, VoteReply):
             return False
         if reply.term > replica.term:
-            replica.learn_term(reply.term)
+            replica.adopt_and_store_term(reply.term)
         return reply.granted
 
     votes = 0
--- a/chestnutfall/consensus/disk_folder.py
+++ b/chestnutfall/consensus/disk_folder.py
@@ -1,4 +1,4 @@
-"""A data folder on a real disk."""
+"""A data folder in the file system."""
 
 from __future__ import annotations
 
@@ -13,11 +13,19 @@
 
 
 class FolderInUse(Exception):
-    """Another process holds the data folder."""
+    """Another process holds the lock of the data folder."""
 
 
 class DiskFolder(Folder):
-    """Files below `path`, locked against a second process."""
+    """Files in the directory `path`, which is created if missing.
+
+    An exclusive lock on a file in it keeps a second process from opening the same folder.
+
+    Raises
+    ------
+    FolderInUse
+        When another process holds the lock.
+    """
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -50,36 +58,36 @@
         await asyncio.to_thread(self._replace, name, data)
 
     def _replace(self, name: str, data: bytes) -> None:
-        part = self._path / f"{name}.part"
-        fd = os.open(part, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+        temp_path = self._path / f"{name}.part"
+        fd = os.open(temp_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
             _write_all(fd, data)
             os.fsync(fd)
         finally:
             os.close(fd)
-        os.rename(part, self._path / name)
-        # Without this the rename itself can be lost. Symptom: after a power cut the old file is
-        # back although the new one was acknowledged.
+        os.rename(temp_path, self._path / name)
+        # Without this sync a power cut can undo the rename: the old file is back although the
+        # new one was acknowledged.
         self._sync_folder()
-        self._forget(name)
+        self._close_file(name)
 
-    def cut(self, name: str, size: int) -> None:
-        self._forget(name)
+    def truncate(self, name: str, size: int) -> None:
+        self._close_file(name)
         with open(self._path / name, "r+b") as file:
             file.truncate(size)
             os.fsync(file.fileno())
 
     def remove(self, name: str) -> None:
-        self._forget(name)
+        self._close_file(name)
         (self._path / name).unlink(missing_ok=True)
 
     def close(self) -> None:
-        """Release the files and the lock."""
+        """Close the open files and release the lock."""
         for name in list(self._fds):
-            self._forget(name)
+            self._close_file(name)
         os.close(self._lock_fd)
 
-    def _forget(self, name: str) -> None:
+    def _close_file(self, name: str) -> None:
         fd = self._fds.pop(name, None)
         if fd is not None:
             os.close(fd)
--- a/chestnutfall/consensus/disk_identity.py
+++ b/chestnutfall/consensus/disk_identity.py
@@ -1,4 +1,4 @@
-"""Which replica a disk belongs to."""
+"""The replica identity that is stored in a data folder."""
 
 from __future__ import annotations
 
@@ -11,25 +11,31 @@
 IDENTITY_NAME = "identity"
 
 
-def identity_of(folder: Folder) -> str:
-    """The identity that was written to a disk in use."""
+def read_identity(folder: Folder) -> str:
+    """Return the replica identity stored in a folder that is in use."""
     return folder.read(IDENTITY_NAME).decode()
 
 
-async def found_group(
+async def bootstrap_founder(
     folder: Folder, storage: FileStorage, replica_id: str, members: tuple[Member, ...]
 ) -> None:
-    """Make an empty disk that of a founder of a new group."""
+    """Initialise an empty folder for `replica_id`, a founding member of a new group.
+
+    `members` is the first membership of the group, the same on every founder.
+    """
     await folder.replace(IDENTITY_NAME, replica_id.encode())
     await storage.bootstrap(members)
 
 
-async def begin_anew(folder: Folder, storage: FileStorage, name: str) -> str:
-    """Give an empty disk a new identity, which no group knows yet."""
-    # A host that lost its disk has also lost its votes. Symptom if it came back under its
-    # old identity: it votes a second time in one term and two leaders are elected. An
-    # identity without a log beside it counts as lost too.
-    fresh = f"{name}-{uuid.uuid4().hex[:8]}"
-    await folder.replace(IDENTITY_NAME, fresh.encode())
+async def assign_new_identity(folder: Folder, storage: FileStorage, name: str) -> str:
+    """Initialise an empty folder with a new, unique identity and return it.
+
+    The replica starts without a membership and takes part once the group has added it.
+    """
+    # A host that lost its disk has also lost the record of its votes. Under its old identity it
+    # could vote twice in one term, and two leaders would be elected. A folder that holds an
+    # identity but no log counts as lost too.
+    new_id = f"{name}-{uuid.uuid4().hex[:8]}"
+    await folder.replace(IDENTITY_NAME, new_id.encode())
     await storage.bootstrap(())
-    return fresh
+    return new_id
--- a/chestnutfall/consensus/entry.py
+++ b/chestnutfall/consensus/entry.py
@@ -9,16 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A command, a membership, or (with neither) the mark of a new term.
+    """A command, a membership change, or (with neither) the no-op that opens a term.
 
     Attributes
     ----------
     index, term : int
-        Position in the log, from 1, and the term of the leader that wrote it.
+        Position in the log, from 1, and the term of the leader that created it.
     data : bytes
-        The command of the state machine; empty when there is none.
+        Encoded command of the state machine; empty when there is none.
     members : tuple of Member or None
-        The whole new membership.
+        The whole new membership; None when it doesn't change.
     """
 
     index: int
--- a/chestnutfall/consensus/errors.py
+++ b/chestnutfall/consensus/errors.py
@@ -1,19 +1,19 @@
-"""Why a proposal did not give an outcome."""
+"""Errors of proposals and of storage."""
 
 from __future__ import annotations
 
 
 class NotLeader(Exception):
-    """Nothing was proposed: this replica does not lead, or its leader lease ran out."""
+    """Nothing was proposed: this replica is not the leader, or its lease has expired."""
 
 
 class Busy(Exception):
-    """Nothing was proposed: too many proposals are waiting."""
+    """Nothing was proposed: too many proposals are in progress."""
 
 
 class LeadershipLost(Exception):
-    """The proposal may or may not be committed by a later leader."""
+    """Leadership ended with the proposal in the log; a later leader may still commit it."""
 
 
 class StorageFailed(Exception):
-    """The disk failed; this replica must stop and not retry."""
+    """A write or sync failed; the replica must stop without a retry."""
--- a/chestnutfall/consensus/file_storage.py
+++ b/chestnutfall/consensus/file_storage.py
@@ -1,4 +1,4 @@
-"""Write-ahead log and snapshot in a data folder."""
+"""Storage of a replica as a write-ahead log and a snapshot in a data folder."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .frame import CorruptFile, frame, read_frame, read_frames
 from .member import Member
 from .snapshot import Snapshot
-from .storage import HardState, Record, Storage, Stored, Truncate
+from .storage import HardState, Record, Storage, StoredState, Truncate
 
 SNAPSHOT_NAME = "snapshot"
 _WAL_NAME = re.compile(r"wal-(\d+)")
@@ -20,11 +20,11 @@
 
 
 class FileStorage(Storage):
-    """Stores one replica in `folder`.
+    """Stores the state of one replica in `folder`.
 
-    `snapshot` holds the newest snapshot, `wal-N` all records since. A new snapshot is written
-    first, then a new `wal-N+1` with what follows it, then the old file goes; after a crash in
-    between, the old file still holds every record behind the new snapshot.
+    The file `snapshot` holds the newest snapshot, `wal-N` all records written since. `save`
+    writes a new snapshot, then `wal-N+1` with the entries after it, then deletes `wal-N`. After
+    a crash in between, `wal-N` still holds every entry after the new snapshot.
     """
 
     def __init__(self, folder: Folder) -> None:
@@ -33,20 +33,26 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing was ever stored here."""
+        """Whether the folder holds neither a snapshot nor a log."""
         return not any(_WAL_NAME.fullmatch(n) or n == SNAPSHOT_NAME for n in self._folder.names())
 
     async def bootstrap(self, members: tuple[Member, ...]) -> None:
-        """Store the first membership of a new cluster."""
+        """Store the first membership; empty for a replica that a group is still to add.
+
+        Raises
+        ------
+        FileExistsError
+            When the folder already holds a replica.
+        """
         if not self.is_empty:
             raise FileExistsError("the data folder already holds a replica")
-        await self.save(Stored(snapshot=Snapshot(members=members)))
+        await self.save(StoredState(snapshot=Snapshot(members=members)))
 
-    def load(self) -> Stored:
+    def load(self) -> StoredState:
         snapshot = self._load_snapshot()
         numbers = sorted(int(m[1]) for n in self._folder.names() if (m := _WAL_NAME.fullmatch(n)))
         if not numbers:
-            return Stored(snapshot=snapshot)
+            return StoredState(snapshot=snapshot)
         self._number = numbers[-1]
         for number in numbers[:-1]:
             self._folder.remove(f"wal-{number}")
@@ -62,15 +68,15 @@
         assert isinstance(snapshot, Snapshot)
         return snapshot
 
-    def _replay(self, snapshot: Snapshot) -> Stored:
+    def _replay(self, snapshot: Snapshot) -> StoredState:
         name = f"wal-{self._number}"
         data = self._folder.read(name)
         hard_state = HardState()
         entries: list[Entry] = []
-        whole = 0
+        valid_bytes = 0
         for end, payload in read_frames(data, name):
-            whole = end
-            for record in _records(payload):
+            valid_bytes = end
+            for record in _decode_batch(payload):
                 match record:
                     case HardState():
                         hard_state = record
@@ -78,26 +84,26 @@
                         entries = [entry for entry in entries if entry.index < index]
                     case Entry():
                         entries.append(record)
-        if whole < len(data):
-            self._folder.cut(name, whole)
+        if valid_bytes < len(data):
+            self._folder.truncate(name, valid_bytes)
         kept = tuple(entry for entry in entries if entry.index > snapshot.index)
-        return Stored(hard_state, snapshot, kept)
+        return StoredState(hard_state, snapshot, kept)
 
     async def append(self, records: tuple[Record, ...]) -> None:
-        await self._folder.append(f"wal-{self._number}", frame(_payload(records)))
+        await self._folder.append(f"wal-{self._number}", frame(_encode_batch(records)))
 
-    async def save(self, stored: Stored) -> None:
+    async def save(self, stored: StoredState) -> None:
         await self._folder.replace(SNAPSHOT_NAME, frame(_CODEC.encode(stored.snapshot)))
         old = f"wal-{self._number}"
         self._number += 1
         records: tuple[Record, ...] = (stored.hard_state, *stored.entries)
-        await self._folder.replace(f"wal-{self._number}", frame(_payload(records)))
+        await self._folder.replace(f"wal-{self._number}", frame(_encode_batch(records)))
         self._folder.remove(old)
 
 
-def _payload(records: tuple[Record, ...]) -> bytes:
+def _encode_batch(records: tuple[Record, ...]) -> bytes:
     return msgspec.msgpack.encode([_CODEC.encode(record) for record in records])
 
 
-def _records(payload: bytes) -> list[Record]:
+def _decode_batch(payload: bytes) -> list[Record]:
     return [_CODEC.decode(data) for data in msgspec.msgpack.decode(payload, type=list[bytes])]
--- a/chestnutfall/consensus/folder.py
+++ b/chestnutfall/consensus/folder.py
@@ -1,4 +1,4 @@
-"""The data folder as the storage sees it."""
+"""Interface of the data folder that `FileStorage` uses."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 
 class Folder(ABC):
-    """Files of one data folder; only what is synced survives."""
+    """Named files of one data folder; after a crash only synced content is certain to remain."""
 
     @abstractmethod
     def names(self) -> list[str]:
-        """Names of the files in it."""
+        """Return the names of all files in the folder."""
 
     @abstractmethod
     def read(self, name: str) -> bytes:
-        """The content of a file."""
+        """Return the content of a file."""
 
     @abstractmethod
     async def append(self, name: str, data: bytes) -> None:
-        """Add `data` to a file and sync it."""
+        """Append `data` to a file, created if missing, and sync it."""
 
     @abstractmethod
     async def replace(self, name: str, data: bytes) -> None:
-        """Give a file new content at once, synced together with the folder's entry for it."""
+        """Replace the content of a file atomically, and sync it and its directory entry."""
 
     @abstractmethod
-    def cut(self, name: str, size: int) -> None:
-        """Shorten a file to `size` bytes and sync it."""
+    def truncate(self, name: str, size: int) -> None:
+        """Truncate a file to `size` bytes and sync it."""
 
     @abstractmethod
     def remove(self, name: str) -> None:
-        """Delete a file."""
+        """Delete a file if it exists."""
--- a/chestnutfall/consensus/follower.py
+++ b/chestnutfall/consensus/follower.py
@@ -1,4 +1,4 @@
-"""What a replica takes over from a leader."""
+"""Handling of a leader's requests by a follower."""
 
 from __future__ import annotations
 
@@ -7,29 +7,32 @@
 from .entry import Entry
 from .messages import AppendReply, AppendRequest, SnapshotRequest
 from .role import Role
-from .storage import HardState, Record, Stored, Truncate
+from .storage import HardState, Record, StoredState, Truncate
 
 if TYPE_CHECKING:
     from .replica import Replica
 
 
 class Follower:
-    """Appends a leader's entries, or replaces everything by its snapshot."""
+    """Appends entries received from a leader, or installs its snapshot."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
 
     async def on_append(self, req: AppendRequest) -> AppendReply:
-        """Append the leader's next entries, or tell where the logs still agree."""
+        """Append the leader's entries, or reply with an index where the logs may still match.
+
+        Everything that the reply acknowledges is synced to disk first.
+        """
         replica = self._replica
         if req.term < replica.term:
             return AppendReply(replica.term, False, 0)
         records = self._follow(req.sender, req.term)
-        # Everything up to the base is committed and so equal on every replica.
+        # Entries up to the base index are committed and therefore the same on every replica.
         beyond_base = req.prev_index > replica.log.base_index
         if beyond_base and replica.log.term_at(req.prev_index) != req.prev_term:
             await replica.journal.write(records)
-            return AppendReply(replica.term, False, self._agreed_before(req.prev_index))
+            return AppendReply(replica.term, False, self._estimate_match_index(req.prev_index))
         records.extend(self._merge(req.entries))
         await replica.journal.write(records)
         matched = req.prev_index + len(req.entries)
@@ -37,8 +40,12 @@
             replica.commit_to(min(req.commit, matched))
         return AppendReply(replica.term, True, matched)
 
-    def _agreed_before(self, index: int) -> int:
-        """Guess the last index that agrees: skip the whole term that does not."""
+    def _estimate_match_index(self, index: int) -> int:
+        """Return the last index before `index` where the logs may match.
+
+        Skips all uncommitted entries of the conflicting term at once, so the leader needs one
+        round trip per term instead of one per entry.
+        """
         replica = self._replica
         if index > replica.log.last_index:
             return replica.log.last_index
@@ -54,10 +61,10 @@
         for entry in entries:
             if entry.index <= replica.log.base_index:
                 continue
-            held = replica.log.term_at(entry.index)
-            if held == entry.term:
+            held_term = replica.log.term_at(entry.index)
+            if held_term == entry.term:
                 continue
-            if held is not None:
+            if held_term is not None:
                 if entry.index <= replica.commit_index:
                     raise AssertionError(f"committed entry {entry.index} would be replaced")
                 replica.log.truncate(entry.index)
@@ -67,17 +74,17 @@
         return records
 
     async def on_snapshot(self, req: SnapshotRequest) -> AppendReply:
-        """Take a state that is newer than the log."""
+        """Replace log and state by the leader's snapshot, if it is newer than the commit index."""
         replica = self._replica
         if req.term < replica.term:
             return AppendReply(replica.term, False, 0)
-        records: list[Record | Stored] = list(self._follow(req.sender, req.term))
+        records: list[Record | StoredState] = list(self._follow(req.sender, req.term))
         snapshot = req.snapshot
         if snapshot.index > replica.commit_index:
             replica.log.reset(snapshot)
             replica.machine.restore(snapshot.data)
             replica.commit_index = replica.applied_index = snapshot.index
-            records.append(replica.stored())
+            records.append(replica.stored_state())
         await replica.journal.write(records)
         return AppendReply(replica.term, True, snapshot.index)
 
@@ -90,5 +97,5 @@
         elif replica.role is not Role.FOLLOWER:
             replica.step_down()
         replica.leader_id = leader_id
-        replica.election.heard_leader()
+        replica.election.record_leader_contact()
         return records
--- a/chestnutfall/consensus/frame.py
+++ b/chestnutfall/consensus/frame.py
@@ -1,8 +1,8 @@
 """Framing of stored batches: length, checksum, payload.
 
-One batch is one frame, and a batch is written only after the one before it was synced. So a
-frame that can't be read is a torn tail if nothing readable follows it, and was never
-acknowledged; if a readable frame follows, synced data was damaged.
+Each batch of records is one frame, and it is written only after the previous frame was synced.
+So an unreadable frame with no readable frame after it is a torn tail, which was never
+acknowledged. An unreadable frame before a readable one means that synced data was damaged.
 """
 
 from __future__ import annotations
@@ -12,46 +12,49 @@
 
 import crc32c
 
-_HEAD = struct.Struct("<II")
-MAGIC = 0x43464C31
+_HEADER = struct.Struct("<II")
+CHECKSUM_SEED = 0x43464C31
+"""Initial value of the CRC-32C: "CFL1" in ASCII."""
 
 
 class CorruptFile(Exception):
-    """Synced data can't be read back."""
+    """Data that was synced fails its checksum."""
 
 
 def frame(payload: bytes) -> bytes:
-    """Wrap `payload` in its length and checksum."""
-    return _HEAD.pack(len(payload), crc32c.crc32c(payload, MAGIC)) + payload
+    """Return `payload` preceded by its length and checksum."""
+    return _HEADER.pack(len(payload), crc32c.crc32c(payload, CHECKSUM_SEED)) + payload
 
 
-def read_frame(data: bytes, at: int) -> bytes | None:
-    """Return the payload of the frame at offset `at`; None when it is not whole."""
-    if at + _HEAD.size > len(data):
+def read_frame(data: bytes, offset: int) -> bytes | None:
+    """Return the payload of the frame at `offset`; None when it is incomplete or damaged."""
+    if offset + _HEADER.size > len(data):
         return None
-    size, checksum = _HEAD.unpack_from(data, at)
-    end = at + _HEAD.size + size
+    size, checksum = _HEADER.unpack_from(data, offset)
+    end = offset + _HEADER.size + size
     if size == 0 or end > len(data):
         return None
-    payload = data[at + _HEAD.size : end]
-    return payload if crc32c.crc32c(payload, MAGIC) == checksum else None
+    payload = data[offset + _HEADER.size : end]
+    return payload if crc32c.crc32c(payload, CHECKSUM_SEED) == checksum else None
 
 
 def read_frames(data: bytes, name: str) -> Iterator[tuple[int, bytes]]:
-    """Yield the end offset and payload of each frame up to a torn tail.
+    """Yield the end offset and payload of each frame up to the end or a torn tail.
+
+    `name` of the file appears in the error message.
 
     Raises
     ------
     CorruptFile
-        When a readable frame stands behind an unreadable one.
+        When a readable frame follows an unreadable one.
     """
-    at = 0
-    while (payload := read_frame(data, at)) is not None:
-        at += _HEAD.size + len(payload)
-        yield at, payload
-    for later in range(at + 1, len(data) - _HEAD.size):
-        if read_frame(data, later) is not None:
+    offset = 0
+    while (payload := read_frame(data, offset)) is not None:
+        offset += _HEADER.size + len(payload)
+        yield offset, payload
+    for later_offset in range(offset + 1, len(data) - _HEADER.size):
+        if read_frame(data, later_offset) is not None:
             raise CorruptFile(
-                f"{name}: the data at offset {at} is damaged and a whole batch follows at offset "
-                f"{later}; restore this replica as a new member"
+                f"{name}: the data at offset {offset} is damaged and a valid batch follows at "
+                f"offset {later_offset}; restore this replica as a new member"
             )
--- a/chestnutfall/consensus/journal.py
+++ b/chestnutfall/consensus/journal.py
@@ -1,4 +1,4 @@
-"""One writer for all that a replica stores, in order and in batches."""
+"""Group commit: a single writer for all records that a replica stores."""
 
 from __future__ import annotations
 
@@ -6,37 +6,47 @@
 from collections.abc import Iterable
 
 from .errors import StorageFailed
-from .storage import Record, Storage, Stored
+from .storage import Record, Storage, StoredState
 
 
 class Journal:
-    """Group records of many callers into one sync.
+    """Batches the records of concurrent `write` calls into one sync.
 
-    Records reach the disk in the order of the calls. Everything that arrives while one sync is
-    under way shares the next one.
+    Records reach the disk in the order of the calls. All records that are queued during a sync
+    share the next one.
     """
 
     def __init__(self, storage: Storage) -> None:
         self._storage = storage
-        self._pending: list[Record | Stored] = []
+        self._pending: list[Record | StoredState] = []
         self._synced: asyncio.Future[None] | None = None
         self._wake = asyncio.Event()
 
-    def write(self, records: Iterable[Record | Stored] = ()) -> asyncio.Future[None]:
-        """Queue `records`; the future ends when they and all before them are synced."""
+    def write(self, records: Iterable[Record | StoredState] = ()) -> asyncio.Future[None]:
+        """Queue `records`; the returned future is done when they and all before them are synced.
+
+        Without records, it waits for those already queued. The future fails with `StorageFailed`
+        when the write or sync failed.
+        """
         self._pending.extend(records)
         if self._synced is None:
             self._synced = asyncio.get_running_loop().create_future()
             self._wake.set()
-        # Many callers wait for one sync. Cancelling one of them (a call that ran into its
-        # deadline) would cancel the future that all of them wait for. Symptom: a campaign or a
-        # leader's link to a healthy follower ends without a word. The shield keeps it theirs.
-        mine = asyncio.shield(self._synced)
-        mine.add_done_callback(_mark_seen)
-        return mine
+        # Many callers wait for the same sync. Without the shield, cancelling one of them (a call
+        # past its deadline) would cancel the shared future, and with it a campaign or the
+        # replication to a healthy follower, without any error.
+        shielded = asyncio.shield(self._synced)
+        shielded.add_done_callback(_retrieve_exception)
+        return shielded
 
     async def run(self) -> None:
-        """Write batch after batch; ends only by cancellation or a failing disk."""
+        """Write and sync batch after batch, until cancelled.
+
+        Raises
+        ------
+        OSError
+            When a write or sync failed; the futures of all queued records fail first.
+        """
         while True:
             await self._wake.wait()
             self._wake.clear()
@@ -45,21 +55,21 @@
             try:
                 await self._write_batch(batch)
             except OSError as exc:
-                # A sync that failed may have dropped the pages it could not write, and a second
-                # sync then reports success. Symptom: an acknowledged entry is missing after a
-                # restart. So nothing is retried: the replica stops and is read back from disk.
+                # A failed fsync may drop the pages that it could not write, and the next fsync
+                # then reports success: an acknowledged entry would be missing after a restart.
+                # So there is no retry: the replica stops, and restarts from what is on disk.
                 self._fail(exc, synced)
                 raise
             if synced is not None and not synced.done():
                 synced.set_result(None)
 
-    async def _write_batch(self, batch: list[Record | Stored]) -> None:
+    async def _write_batch(self, batch: list[Record | StoredState]) -> None:
         records: list[Record] = []
         for item in batch:
-            if not isinstance(item, Stored):
+            if not isinstance(item, StoredState):
                 records.append(item)
                 continue
-            records.clear()  # `item` holds the whole state, these records included
+            records.clear()  # `item` is the whole state and includes the records before it
             await self._storage.save(item)
         if records:
             await self._storage.append(tuple(records))
@@ -71,7 +81,7 @@
                 fut.exception()
 
 
-def _mark_seen(fut: asyncio.Future[None]) -> None:
-    """Keep asyncio from reporting a failure that `run` reports already."""
+def _retrieve_exception(fut: asyncio.Future[None]) -> None:
+    """Keep asyncio from logging a failure as never retrieved; `run` raises it."""
     if not fut.cancelled():
         fut.exception()
--- a/chestnutfall/consensus/leadership.py
+++ b/chestnutfall/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""One term of leading."""
+"""Replication by the leader during one term."""
 
 from __future__ import annotations
 
@@ -15,22 +15,27 @@
     from .replica import Replica
 
 MAX_BATCH_BYTES = 256 * 1024
+"""Approximate limit of the entries in one `AppendRequest`; a single entry may exceed it."""
 
 
 class Leadership:
-    """Replication, commit and lease of a leader, from its election to its end.
+    """Replication, commit and lease of a leader, from its election until it steps down.
 
     Attributes
     ----------
     term : int
-        The term led.
+        Term of this leadership.
     start_index : int
-        The entry that marks the term; nothing is decided before it is applied.
+        Index of the no-op entry that opens the term; before it is applied, the leader accepts no
+        proposals and serves no reads.
+    progress : Progress
+        What this leader knows about each replica.
     waiters : dict of int to Future
-        Outcomes that proposals wait for, by index.
-    handing_over : bool
-        Whether a successor was asked to take over; it may be elected inside our lease, so
-        nothing is decided any more, for good: that message can still take effect later.
+        Outcomes of the proposals in progress, by log index.
+    transferring : bool
+        Whether a successor was asked to take over. The successor may be elected within this
+        leader's lease, so this leader stops accepting proposals and serving reads. That is final,
+        since the request can still take effect later.
     """
 
     def __init__(self, replica: Replica) -> None:
@@ -39,15 +44,15 @@
         self.start_index = replica.log.last_index + 1
         self.progress = Progress()
         self.waiters: dict[int, asyncio.Future[Any]] = {}
-        self.handing_over = False
+        self.transferring = False
         self._peers: dict[str, tuple[Member, asyncio.Task[None], asyncio.Event]] = {}
 
     def begin(self) -> None:
-        """Mark the term in the log and start to replicate."""
+        """Append the no-op entry that opens the term and start replication."""
         self.append(Entry(self.start_index, self.term))
 
     def end(self) -> None:
-        """Stop replicating; whoever waits is told that the outcome is unknown."""
+        """Stop replication; proposals in progress fail with `LeadershipLost`."""
         for _, task, _ in self._peers.values():
             task.cancel()
         self._peers.clear()
@@ -58,70 +63,75 @@
         self.waiters.clear()
 
     def lease_until_ms(self) -> int:
-        """When a majority may elect another leader at the earliest."""
+        """Return when the lease expires; no other leader is elected before, except by transfer."""
         replica = self._replica
-        self.progress.answered(replica.replica_id, replica.clock.now_ms())
+        self.progress.record_answer(replica.replica_id, replica.clock.now_ms())
         return self.progress.quorum_answered_ms(replica.members) + replica.timing.lease_ms
 
     async def append_and_wait(self, entry: Entry) -> Any:
-        """Append `entry` and return what the state machine made of it."""
+        """Append `entry`, wait until it is applied and return the state machine's outcome."""
         fut: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self.waiters[entry.index] = fut
         self.append(entry)
         return await fut
 
     def append(self, entry: Entry) -> None:
-        """Append `entry`, sync it here and send it to all others."""
+        """Append `entry`, queue it for the local disk and wake the replication to all others."""
         replica = self._replica
         replica.log.append(entry)
 
         def synced(fut: asyncio.Future[None]) -> None:
             if fut.cancelled() or fut.exception() is not None:
                 return
-            self.progress.matched(replica.replica_id, entry.index)
+            self.progress.record_match(replica.replica_id, entry.index)
             self.advance_commit()
 
         replica.journal.write([entry]).add_done_callback(synced)
-        self._match_peers_to_members()
+        self._reconcile_peers()
         for _, _, wake in self._peers.values():
             wake.set()
 
     def advance_commit(self) -> None:
-        """Commit what a majority has synced."""
+        """Commit and apply the entries that a majority of the voters has synced."""
         replica = self._replica
         if replica.leadership is not self:
             return
-        index = self.progress.quorum_match(replica.members)
-        # An entry of an earlier term on a majority may still be replaced by a later leader; it
-        # counts as committed only below one of our own term (Raft paper, section 5.4.2).
+        index = self.progress.quorum_match_index(replica.members)
+        # An entry of an earlier term may still be replaced by a later leader even if a majority
+        # holds it. It is committed only through an entry of the current term after it (Raft
+        # paper, section 5.4.2).
         if index > replica.commit_index and replica.log.term_at(index) == self.term:
             replica.commit_to(index)
 
-    async def ask_successor(self) -> None:
-        """Ask the most advanced follower to take over."""
+    async def transfer_to_successor(self) -> None:
+        """Ask the voter with the longest matching log to campaign at once.
+
+        First waits up to `call_timeout_ms` for that voter's log to catch up. Returns without an
+        error if the voter can't be reached.
+        """
         replica = self._replica
-        self.handing_over = True
+        self.transferring = True
         others = [m for m in replica.members if m.voter and m.replica_id != replica.replica_id]
         if not others:
             return
-        target = max(others, key=lambda member: self.progress.match(member.replica_id))
+        target = max(others, key=lambda member: self.progress.match_index(member.replica_id))
         await self._wait_for_match(target.replica_id)
         msg = TakeOver(target.replica_id, replica.replica_id, self.term)
         try:
-            await replica.transport.call(target, msg, replica.timing.call_ms)
+            await replica.transport.call(target, msg, replica.timing.call_timeout_ms)
         except ConnectionError:
             return
 
     async def _wait_for_match(self, replica_id: str) -> None:
         replica = self._replica
         for _ in range(10):
-            if self.progress.match(replica_id) >= replica.log.last_index:
+            if self.progress.match_index(replica_id) >= replica.log.last_index:
                 return
-            await replica.clock.sleep_ms(replica.timing.call_ms / 10)
+            await replica.clock.sleep_ms(replica.timing.call_timeout_ms / 10)
 
     # Replication
 
-    def _match_peers_to_members(self) -> None:
+    def _reconcile_peers(self) -> None:
         own_id = self._replica.replica_id
         wanted = {m.replica_id: m for m in self._replica.members if m.replica_id != own_id}
         for replica_id, (member, task, _) in list(self._peers.items()):
@@ -145,11 +155,11 @@
                 await replica.clock.sleep_ms(replica.timing.heartbeat_ms)
                 continue
             if reply.term > self.term:
-                replica.learn_term(reply.term)
+                replica.adopt_and_store_term(reply.term)
                 return
             if reply.ok:
                 next_index = reply.match_index + 1
-                self.progress.matched(member.replica_id, reply.match_index)
+                self.progress.record_match(member.replica_id, reply.match_index)
                 self.advance_commit()
             else:
                 next_index = max(1, min(next_index - 1, reply.match_index + 1))
@@ -157,18 +167,18 @@
                 await self._wait_for_entries(wake)
 
     async def _send(self, member: Member, next_index: int) -> AppendReply | None:
-        """Send what is next; None when there is no answer of this term or a later one."""
+        """Send the next message; return None without a reply of this term or a later one."""
         replica = self._replica
         sent_ms = replica.clock.now_ms()
         msg = self._next_message(member, next_index)
         try:
-            reply = await replica.transport.call(member, msg, replica.timing.call_ms)
+            reply = await replica.transport.call(member, msg, replica.timing.call_timeout_ms)
         except ConnectionError:
             return None
         if not isinstance(reply, AppendReply) or reply.term < self.term:
             return None
         if reply.term == self.term:
-            self.progress.answered(member.replica_id, sent_ms)
+            self.progress.record_answer(member.replica_id, sent_ms)
         return reply
 
     def _next_message(self, member: Member, next_index: int) -> AppendRequest | SnapshotRequest:
@@ -177,7 +187,7 @@
         prev_term = replica.log.term_at(next_index - 1)
         if prev_term is None:
             return SnapshotRequest(member.replica_id, own_id, self.term, replica.log.snapshot)
-        entries = replica.log.after(next_index - 1, MAX_BATCH_BYTES)
+        entries = replica.log.entries_after(next_index - 1, MAX_BATCH_BYTES)
         return AppendRequest(
             member.replica_id,
             own_id,
--- a/chestnutfall/consensus/member.py
+++ b/chestnutfall/consensus/member.py
@@ -1,4 +1,4 @@
-"""One replica as the membership names it."""
+"""One member of the replicated group."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Identity, address and role of a replica.
+    """Identity, address and voting right of a replica.
 
     Attributes
     ----------
     replica_id : str
-        Unique for the life of one disk; a host with a new disk has a new one.
+        Identity stored on the replica's disk; a host gets a new one with a new disk.
     address : str
         IP and port.
     voter : bool
-        False for a learner, which receives the log but counts for no quorum.
+        False for a learner, which receives the log but does not count towards any quorum.
     """
 
     replica_id: str
--- a/chestnutfall/consensus/messages.py
+++ b/chestnutfall/consensus/messages.py
@@ -1,7 +1,8 @@
 """The closed union of messages between replicas.
 
-Every message names the replica it is meant for: a host that lost its disk answers at the same
-address under a new identity and must not be taken for the replica that remembered its votes.
+Every request names its receiver in `to` and its sender in `sender`, both by replica id. A host
+that lost its disk answers at the same address under a new identity. It must not be mistaken for
+the lost replica, since it has no record of that replica's votes.
 """
 
 from __future__ import annotations
@@ -15,10 +16,19 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """Ask for a vote, or (`pre`) whether one would be given.
-
-    `transfer` is set when the leader itself asked this candidate to take over, and lifts the
-    rule that a follower in touch with a leader votes for nobody.
+    """A candidate's request for a vote, or (`pre`) for whether it would be granted.
+
+    Attributes
+    ----------
+    term : int
+        Term that the candidate wants to be elected in.
+    last_index, last_term : int
+        Index and term of the last entry in the candidate's log.
+    pre : bool
+        Pre-vote: the receiver replies without changing its state.
+    transfer : bool
+        The leader asked this candidate to take over; this lifts the rule that a replica in
+        contact with a leader grants no vote.
     """
 
     to: str
@@ -32,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteReply:
-    """The voter's term and its answer."""
+    """The receiver's term, and whether it grants its vote; also the reply to `TakeOver`."""
 
     term: int
     granted: bool
@@ -40,7 +50,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendRequest:
-    """Entries that follow `prev_index`; none for a heartbeat."""
+    """The leader's entries that follow `prev_index`; none in a heartbeat.
+
+    Attributes
+    ----------
+    prev_index, prev_term : int
+        Index and term of the entry before the first of `entries`; the receiver's log must match
+        there.
+    commit : int
+        The leader's commit index.
+    """
 
     to: str
     sender: str
@@ -53,10 +72,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendReply:
-    """Whether the log matched, and how far.
-
-    `match_index` is the last entry known to be equal and synced if `ok`; otherwise the
-    follower's best guess of where its log still agrees.
+    """The follower's reply to `AppendRequest` and `SnapshotRequest`.
+
+    Attributes
+    ----------
+    term : int
+        The follower's term.
+    ok : bool
+        Whether the log matched and everything in the request is synced.
+    match_index : int
+        With `ok`, the last index known to match the leader's log and to be synced; otherwise an
+        estimate of the last index where the logs match.
     """
 
     term: int
@@ -66,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRequest:
-    """A whole state for a follower that is too far behind."""
+    """The leader's snapshot, for a follower that needs entries the leader has discarded."""
 
     to: str
     sender: str
@@ -76,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeOver:
-    """The leader stops and asks the receiver to campaign at once."""
+    """The leader steps down and asks the receiver to campaign at once (leadership transfer)."""
 
     to: str
     sender: str
@@ -85,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WrongReplica:
-    """The message was meant for an identity that does not live here."""
+    """Reply to a message for another replica id; `replica_id` is that of the replier."""
 
     replica_id: str
 
--- a/chestnutfall/consensus/raft_log.py
+++ b/chestnutfall/consensus/raft_log.py
@@ -9,13 +9,19 @@
 from .snapshot import Snapshot
 
 ENTRY_OVERHEAD_BYTES = 32
+"""Allowance for the encoded fields of an entry other than its data."""
 
 
 class RaftLog:
-    """Entries after a base, and the membership they imply.
+    """Snapshot, the entries after a base index, and the memberships in them.
 
-    The base trails the snapshot by some entries, so that a follower that is a little behind
-    needs no whole snapshot.
+    The base index is some entries before the snapshot's index, so that a follower that is
+    slightly behind can be sent entries instead of the whole snapshot.
+
+    Attributes
+    ----------
+    snapshot : Snapshot
+        The newest snapshot.
     """
 
     def __init__(self, snapshot: Snapshot, entries: Iterable[Entry]) -> None:
@@ -25,7 +31,7 @@
                 self.append(entry)
 
     def reset(self, snapshot: Snapshot) -> None:
-        """Forget every entry; the log starts after `snapshot`."""
+        """Discard all entries; the log then starts after `snapshot`."""
         self.snapshot = snapshot
         self._base_index = snapshot.index
         self._base_term = snapshot.term
@@ -34,17 +40,17 @@
 
     @property
     def base_index(self) -> int:
-        """Index before the first entry held."""
+        """Index of the entry before the first one in memory."""
         return self._base_index
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry."""
+        """Index of the last entry, or of the base if there is none."""
         return self._base_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry."""
+        """Term of the last entry, or of the base if there is none."""
         return self._entries[-1].term if self._entries else self._base_term
 
     @property
@@ -54,22 +60,28 @@
 
     @property
     def members_index(self) -> int:
-        """Index of the entry that gave the newest membership."""
+        """Index of the entry, or of the snapshot, that holds the newest membership."""
         return self._memberships[-1][0] if self._memberships else self.snapshot.index
 
     def term_at(self, index: int) -> int | None:
-        """Term of the entry at `index`; None when it is not held."""
+        """Return the term of the entry at `index`; None when it is not in memory."""
         if index == self._base_index:
             return self._base_term
         offset = index - self._base_index - 1
         return self._entries[offset].term if 0 <= offset < len(self._entries) else None
 
     def entry_at(self, index: int) -> Entry:
-        """The entry at `index`, which must be held."""
+        """Return the entry at `index`, which must be in memory."""
         return self._entries[index - self._base_index - 1]
 
     def append(self, entry: Entry) -> None:
-        """Add the next entry."""
+        """Append `entry`.
+
+        Raises
+        ------
+        ValueError
+            When its index does not follow the last one.
+        """
         if entry.index != self.last_index + 1:
             raise ValueError(f"entry {entry.index} does not follow {self.last_index}")
         self._entries.append(entry)
@@ -77,13 +89,13 @@
             self._memberships.append((entry.index, entry.members))
 
     def truncate(self, index: int) -> None:
-        """Forget the entry at `index` and all behind it."""
+        """Delete the entry at `index` and all entries after it."""
         del self._entries[index - self._base_index - 1 :]
         while self._memberships and self._memberships[-1][0] >= index:
             self._memberships.pop()
 
-    def after(self, index: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Entries behind `index`, at least one if there is one, up to about `max_bytes`."""
+    def entries_after(self, index: int, max_bytes: int) -> tuple[Entry, ...]:
+        """Return entries after `index`, up to about `max_bytes`, but at least one if any."""
         chosen: list[Entry] = []
         size = 0
         for entry in self._entries[index - self._base_index :]:
@@ -93,12 +105,12 @@
             chosen.append(entry)
         return tuple(chosen)
 
-    def unsnapshotted(self) -> tuple[Entry, ...]:
-        """Entries behind the snapshot."""
+    def entries_after_snapshot(self) -> tuple[Entry, ...]:
+        """Return all entries after the snapshot."""
         return tuple(self._entries[self.snapshot.index - self._base_index :])
 
     def members_at(self, index: int) -> tuple[Member, ...]:
-        """The membership as of entry `index`."""
+        """Return the membership as of entry `index`, which is not before the snapshot."""
         found = self.snapshot.members
         for at, members in self._memberships:
             if at <= index:
@@ -106,7 +118,7 @@
         return found
 
     def compact(self, snapshot: Snapshot, keep: int) -> None:
-        """Take `snapshot` as the state at its index, keeping `keep` entries before it."""
+        """Install a newer `snapshot` and discard all entries but the last `keep` before it."""
         base_index = max(self._base_index, snapshot.index - keep)
         base_term = self.term_at(base_index)
         assert base_term is not None
--- a/chestnutfall/consensus/replica.py
+++ b/chestnutfall/consensus/replica.py
@@ -1,4 +1,4 @@
-"""One replica of the log.
+"""One replica of the replicated log.
 
 The algorithm is Raft (Ongaro and Ousterhout, 2014) with pre-vote, a leader lease, leadership
 transfer and membership changes of one replica at a time (Ongaro's thesis, chapters 4, 6 and 9).
@@ -31,17 +31,57 @@
 from .role import Role
 from .snapshot import Snapshot
 from .state_machine import StateMachine
-from .storage import HardState, Storage, Stored
+from .storage import HardState, Storage, StoredState
 from .timing import Timing
 from .transport import Transport
 
-MAX_WAITING = 4096
-SNAPSHOT_EVERY = 4000
+MAX_WAITING_PROPOSALS = 4096
+"""Proposals in progress at a leader; further ones fail with `Busy`."""
+SNAPSHOT_EVERY_ENTRIES = 4000
 KEEP_ENTRIES = 1000
+"""Entries before a snapshot that stay in memory for followers that are slightly behind."""
 
 
 class Replica:
-    """Elections, replication and the state machine of one replica."""
+    """One replica: its Raft state, its role, and the state machine that it drives.
+
+    Messages from other replicas are passed to `handle`; the application calls `propose`.
+
+    Parameters
+    ----------
+    replica_id : str
+        Identity stored on this replica's disk.
+    storage : Storage
+        Where term, vote, log and snapshot are stored.
+    machine : StateMachine
+        Receives the committed commands in order.
+    transport : Transport
+        Calls to the other replicas.
+    rng : random.Random
+        Source of randomised election timeouts.
+    timing : Timing
+        Timeouts, the same on all replicas of a group.
+    snapshot_every_entries : int
+        Entries applied between two snapshots.
+    keep_entries : int
+        Entries before a snapshot that stay in memory.
+
+    Attributes
+    ----------
+    term, voted_for : int, str
+        Current term, and the replica id voted for in it; empty if none.
+    role : Role
+        Current role.
+    leader_id : str
+        Leader of the term as far as known; else empty.
+    leadership : Leadership or None
+        State of the leader role; None on any other replica.
+    commit_index, applied_index : int
+        Last entry known to be committed, and last entry applied to the state machine.
+    failed : Future
+        Done, with the exception as its result, once a task of the replica failed; the process
+        must then stop.
+    """
 
     def __init__(
         self,
@@ -52,7 +92,7 @@
         clock: Clock,
         rng: random.Random,
         timing: Timing,
-        snapshot_every: int = SNAPSHOT_EVERY,
+        snapshot_every_entries: int = SNAPSHOT_EVERY_ENTRIES,
         keep_entries: int = KEEP_ENTRIES,
     ) -> None:
         self.replica_id = replica_id
@@ -61,7 +101,7 @@
         self.timing = timing
         self.transport = transport
         self._storage = storage
-        self._snapshot_every = snapshot_every
+        self._snapshot_every_entries = snapshot_every_entries
         self._keep_entries = keep_entries
         self.role = Role.FOLLOWER
         self.leader_id = ""
@@ -70,22 +110,23 @@
         self._follower = Follower(self)
         self._tasks: set[asyncio.Task[None]] = set()
 
-    # Life
+    # Start and stop
 
     def start(self, process_start_ms: int | None = None) -> None:
-        """Read the stored state and begin to take part.
+        """Load the stored state and start the journal and election tasks.
 
         Parameters
         ----------
         process_start_ms : int, optional
-            When the process began, if no replica ran in it before this one.
+            When the process started, on the replica's clock; only if no other replica ran in it
+            before. Shortens the time in which the replica grants no vote.
         """
-        stored = self._storage.load()
-        self.term = stored.hard_state.term
-        self.voted_for = stored.hard_state.voted_for
-        self.log = RaftLog(stored.snapshot, stored.entries)
-        self.machine.restore(stored.snapshot.data)
-        self.commit_index = self.applied_index = stored.snapshot.index
+        stored_state = self._storage.load()
+        self.term = stored_state.hard_state.term
+        self.voted_for = stored_state.hard_state.voted_for
+        self.log = RaftLog(stored_state.snapshot, stored_state.entries)
+        self.machine.restore(stored_state.snapshot.data)
+        self.commit_index = self.applied_index = stored_state.snapshot.index
         self.journal = Journal(self._storage)
         self.failed: asyncio.Future[BaseException] = asyncio.get_running_loop().create_future()
         self.election.begin(process_start_ms)
@@ -93,7 +134,7 @@
         self.spawn(self.election.run())
 
     async def stop(self) -> None:
-        """Stop all tasks at once; nothing is handed over."""
+        """Cancel all tasks at once, without a leadership transfer."""
         self.step_down()
         tasks = list(self._tasks)
         for task in tasks:
@@ -101,52 +142,56 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def spawn(self, work: Any) -> asyncio.Task[None]:
-        """Run `work` as a task of this replica's life."""
+        """Run the coroutine `work` as a task that `stop` cancels; its failure sets `failed`."""
         task: asyncio.Task[None] = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._task_ended)
         return task
 
     def _task_ended(self, task: asyncio.Task[None]) -> None:
-        # A replica whose election or journal task died would answer as if it were well and never
-        # campaign again. Its process stops instead and is restarted.
+        # A replica whose election or journal task failed would still answer but never campaign
+        # again. Setting `failed` makes its process stop, to be restarted.
         self._tasks.discard(task)
         if not task.cancelled() and (exc := task.exception()) is not None:
             if not self.failed.done():
                 self.failed.set_result(exc)
 
-    # What others ask of this replica
+    # Queries and proposals
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """The newest membership in the log."""
+        """The newest membership in the log, committed or not."""
         return self.log.members
 
     def leader_address(self) -> str:
-        """Where another replica leads, as far as this one knows; empty if it does not."""
+        """Return the address of the leader; empty if it is unknown or this replica itself."""
         for member in self.members:
             if member.replica_id == self.leader_id != self.replica_id:
                 return member.address
         return ""
 
-    def leader_silent_ms(self) -> int:
-        """How long nothing was heard from a leader; 0 for the leader itself."""
+    def leader_contact_age_ms(self) -> int:
+        """Return the time since the last message from a leader; 0 on the leader itself."""
         if self.leadership is not None:
             return 0
-        return self.election.silent_ms()
+        return self.election.leader_contact_age_ms()
 
-    def can_decide(self) -> bool:
-        """Whether this is the only leader now and has applied all that earlier ones committed."""
+    def is_active_leader(self) -> bool:
+        """Whether this replica may accept proposals and serve reads as the leader.
+
+        It must hold a valid lease, so that no other replica can be active too, must have applied
+        all entries committed by earlier leaders, and must not have started a transfer.
+        """
         leadership = self.leadership
         return (
             leadership is not None
-            and not leadership.handing_over
+            and not leadership.transferring
             and self.applied_index >= leadership.start_index
             and self.clock.now_ms() < leadership.lease_until_ms()
         )
 
     async def propose(self, data: bytes) -> Any:
-        """Commit `data` and return what the state machine made of it.
+        """Replicate the command `data` and return the state machine's outcome once applied.
 
         Raises
         ------
@@ -160,34 +205,37 @@
         return await leadership.append_and_wait(entry)
 
     async def change_members(self, members: tuple[Member, ...]) -> None:
-        """Commit a membership that differs from the present one in one replica.
+        """Commit a new membership that differs from the current one in exactly one replica.
 
         Raises
         ------
         ValueError
-            When it differs in more, an earlier change is not committed, a learner to be
-            promoted lags behind, or the leader would remove itself.
+            When it differs in none or several, the previous change is not committed, a new voter
+            has not caught up, or the leader would remove or demote itself.
+        NotLeader, Busy, LeadershipLost
+            As in `propose`.
         """
         leadership = self._leadership_for_proposal()
-        self._check_members(members)
+        self._check_membership_change(members)
         entry = Entry(self.log.last_index + 1, self.term, members=members)
         await leadership.append_and_wait(entry)
 
     def _leadership_for_proposal(self) -> Leadership:
-        if self.leadership is None or not self.can_decide():
+        if self.leadership is None or not self.is_active_leader():
             raise NotLeader(self.leader_id)
-        if len(self.leadership.waiters) >= MAX_WAITING:
+        if len(self.leadership.waiters) >= MAX_WAITING_PROPOSALS:
             raise Busy(f"{len(self.leadership.waiters)} proposals are waiting")
         return self.leadership
 
     @property
     def progress(self) -> Progress:
-        """What this replica as leader knows of the others; empty when it does not lead."""
+        """Replication progress of each replica; empty unless this replica is the leader."""
         return self.leadership.progress if self.leadership is not None else Progress()
 
-    def _check_members(self, members: tuple[Member, ...]) -> None:
-        # Two changes under way may leave two majorities without a common voter. Symptom: two
-        # leaders in one term. One committed change at a time keeps every two majorities joined.
+    def _check_membership_change(self, members: tuple[Member, ...]) -> None:
+        # With two uncommitted changes, two majorities might have no voter in common, and two
+        # leaders could be elected in one term. With one change of one replica at a time, any
+        # two majorities overlap.
         if self.log.members_index > self.commit_index:
             raise ValueError("the membership change before this one is not committed yet")
         changed = set(members) ^ set(self.members)
@@ -202,21 +250,24 @@
                 self._check_caught_up(member)
 
     def _check_caught_up(self, member: Member) -> None:
-        # A new voter with an empty log counts for the quorum but can't help to commit. Symptom:
-        # one more lost host right after a repair stops every change.
-        if self.progress.match(member.replica_id) < self.commit_index:
+        # A voter with an empty log counts towards the quorum but can't help to commit. If
+        # another host failed right after such a repair, no entry could be committed.
+        if self.progress.match_index(member.replica_id) < self.commit_index:
             raise ValueError(f"{member.replica_id} has not caught up; it stays a learner")
 
-    async def hand_over(self) -> None:
-        """Move leadership to the most advanced follower before a graceful stop."""
+    async def transfer_leadership(self) -> None:
+        """Transfer leadership to the voter with the longest matching log, and step down.
+
+        Called before a graceful stop; does nothing on a replica that is not the leader.
+        """
         if self.leadership is not None:
-            await self.leadership.ask_successor()
+            await self.leadership.transfer_to_successor()
             self.step_down()
 
     # Messages from other replicas
 
     async def handle(self, msg: Any) -> Any:
-        """Answer a message of another replica."""
+        """Handle a message from another replica and return the reply."""
         if msg.to != self.replica_id:
             return WrongReplica(self.replica_id)
         match msg:
@@ -236,57 +287,63 @@
     # Roles
 
     def adopt_term(self, term: int) -> None:
-        """Enter a later term as a follower that has not voted in it."""
+        """Enter a later term as a follower without a vote; the caller has to store it."""
         self.term = term
         self.voted_for = ""
         self.leader_id = ""
         self.step_down()
 
     def step_down(self) -> None:
-        """Stop to lead or to stand."""
+        """Become a follower in the current term and end any leadership."""
         self.role = Role.FOLLOWER
         leadership, self.leadership = self.leadership, None
         if leadership is not None:
             leadership.end()
 
     def is_voter(self) -> bool:
-        """Whether this replica's vote counts."""
+        """Whether this replica is a voting member."""
         return any(m.replica_id == self.replica_id and m.voter for m in self.members)
 
-    def stand_as_candidate(self) -> int:
-        """Enter the next term and vote for this replica; the term."""
+    def become_candidate(self) -> int:
+        """Enter the next term as a candidate, vote for itself and return the term.
+
+        The caller has to store term and vote before asking for votes.
+        """
         self.term += 1
         self.voted_for = self.replica_id
         self.leader_id = ""
         self.role = Role.CANDIDATE
         return self.term
 
-    def lead(self) -> None:
-        """Begin to lead in the present term."""
+    def become_leader(self) -> None:
+        """Become the leader of the current term and start replication."""
         self.role = Role.LEADER
         self.leader_id = self.replica_id
         self.leadership = Leadership(self)
         self.leadership.begin()
 
-    def learn_term(self, term: int) -> None:
-        """Follow a later term that another replica answered with."""
+    def adopt_and_store_term(self, term: int) -> None:
+        """Adopt the later term of another replica's reply and queue it for the disk."""
         self.adopt_term(term)
         self.journal.write([HardState(self.term, self.voted_for)])
 
     # Commit and apply
 
     def commit_to(self, index: int) -> None:
-        """Take every entry up to `index` as committed and apply it."""
+        """Mark all entries up to `index` as committed and apply them.
+
+        Takes a snapshot once `snapshot_every_entries` entries were applied since the last one.
+        """
         self.commit_index = max(self.commit_index, min(index, self.log.last_index))
         while self.applied_index < self.commit_index:
             self.applied_index += 1
             entry = self.log.entry_at(self.applied_index)
             outcome = self.machine.apply(entry.index, entry.data) if entry.data else None
-            self._tell_waiter(entry.index, outcome)
-        if self.applied_index - self.log.snapshot.index >= self._snapshot_every:
+            self._complete_proposal(entry.index, outcome)
+        if self.applied_index - self.log.snapshot.index >= self._snapshot_every_entries:
             self._take_snapshot()
 
-    def _tell_waiter(self, index: int, outcome: Any) -> None:
+    def _complete_proposal(self, index: int, outcome: Any) -> None:
         if self.leadership is None:
             return
         waiter = self.leadership.waiters.pop(index, None)
@@ -300,9 +357,9 @@
         members = self.log.members_at(index)
         snapshot = Snapshot(index, term, members, self.machine.dump())
         self.log.compact(snapshot, self._keep_entries)
-        self.journal.write([self.stored()])
+        self.journal.write([self.stored_state()])
 
-    def stored(self) -> Stored:
-        """Everything that the disk must hold."""
+    def stored_state(self) -> StoredState:
+        """Return the whole state that has to be on disk."""
         hard_state = HardState(self.term, self.voted_for)
-        return Stored(hard_state, self.log.snapshot, self.log.unsnapshotted())
+        return StoredState(hard_state, self.log.snapshot, self.log.entries_after_snapshot())
--- a/chestnutfall/consensus/role.py
+++ b/chestnutfall/consensus/role.py
@@ -1,4 +1,4 @@
-"""What a replica is doing in its term."""
+"""Role of a replica in its current term."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Role(Enum):
-    """The closed set of roles."""
+    """The roles of the Raft algorithm; a learner is a follower that is not a voter."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
--- a/chestnutfall/consensus/storage.py
+++ b/chestnutfall/consensus/storage.py
@@ -1,4 +1,4 @@
-"""What a replica must find again after a restart."""
+"""Interface of a replica's durable storage, and the records it holds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """The newest term seen and the vote given in it."""
+    """Current term, and the replica id voted for in it; empty if none."""
 
     term: int = 0
     voted_for: str = ""
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Truncate:
-    """Forget the entry at `index` and all behind it."""
+    """Deletion of the entry at `index` and all entries after it."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
-class Stored:
-    """All that a replica stored."""
+class StoredState:
+    """The whole durable state: term and vote, snapshot, and the entries after it."""
 
     hard_state: HardState = field(default_factory=HardState)
     snapshot: Snapshot = field(default_factory=Snapshot)
@@ -37,22 +37,22 @@
 
 
 class Storage(ABC):
-    """Durable records of one replica."""
+    """Durable state of one replica."""
 
     @abstractmethod
-    def load(self) -> Stored:
-        """Read everything back."""
+    def load(self) -> StoredState:
+        """Return the stored state; an empty one if nothing was stored."""
 
     @abstractmethod
     async def append(self, records: tuple[Record, ...]) -> None:
-        """Store `records`; they are synced when this returns.
+        """Append `records`; they are synced when this returns.
 
         Raises
         ------
         OSError
-            When the disk failed; what is stored is then unknown.
+            When a write or sync failed; which records are stored is then unknown.
         """
 
     @abstractmethod
-    async def save(self, stored: Stored) -> None:
-        """Replace everything by `stored`, at once or not at all."""
+    async def save(self, stored: StoredState) -> None:
+        """Replace the whole state by `stored`, atomically."""
--- a/chestnutfall/consensus/timing.py
+++ b/chestnutfall/consensus/timing.py
@@ -1,27 +1,39 @@
-"""How long a replica waits for what."""
+"""Timeouts of a replica."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 DRIFT_BOUND = 0.1
-"""Two hosts' clocks may differ in rate by this part; real ones differ by less than 0.001."""
+"""Assumed bound on the relative difference in rate of two hosts' clocks; real clocks stay below
+0.001."""
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Times of elections and replication, ms."""
+    """Intervals and timeouts of elections and replication.
+
+    Attributes
+    ----------
+    heartbeat_ms : int
+        Interval between calls to an idle follower, and before a retry after a failed call.
+    election_min_ms, election_max_ms : int
+        Range of the randomised election timeout.
+    call_timeout_ms : int
+        Deadline of a call to another replica.
+    """
 
     heartbeat_ms: int = 100
     election_min_ms: int = 600
     election_max_ms: int = 1000
-    call_ms: int = 500
+    call_timeout_ms: int = 500
 
     @property
     def lease_ms(self) -> int:
-        """How long a quorum's answer lets a leader decide.
+        """Duration of the leader's lease, from the time it sent a call that a quorum answered.
 
-        Followers refuse every vote for `election_min_ms` after hearing from a leader, so a
-        successor can't be elected before this ends, even if the leader's clock is slow.
+        Followers grant no vote for `election_min_ms` after contact with a leader. The lease is
+        shorter by `DRIFT_BOUND`, so it ends before a successor can be elected even if the
+        leader's clock is slow.
         """
         return int(self.election_min_ms * (1 - DRIFT_BOUND))
--- a/chestnutfall/consensus/transport.py
+++ b/chestnutfall/consensus/transport.py
@@ -1,4 +1,4 @@
-"""How replicas reach each other."""
+"""Interface for calls between replicas."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Transport(ABC):
-    """Calls to other replicas."""
+    """Sends messages to other replicas."""
 
     @abstractmethod
     async def call(self, member: Member, msg: Any, timeout_ms: float) -> Any:
-        """Send `msg` to `member` and return its answer.
+        """Send `msg` to `member` and return its reply.
 
         Raises
         ------
         ConnectionError
-            When there is no answer in time.
+            When there is no reply within `timeout_ms`.
         """
--- a/chestnutfall/control/leader_duties.py
+++ b/chestnutfall/control/leader_duties.py
@@ -62,7 +62,7 @@
 
         The other methods may be called only after this returned True.
         """
-        if not self._replica.can_decide():
+        if not self._replica.is_active_leader():
             return False
         if self._term != self._replica.term:
             self._begin()
--- a/chestnutfall/control/operator_service.py
+++ b/chestnutfall/control/operator_service.py
@@ -175,7 +175,7 @@
                 member.replica_id,
                 member.address,
                 member.voter,
-                self._replica.progress.match(member.replica_id),
+                self._replica.progress.match_index(member.replica_id),
                 now_ms - self._replica.progress.answered_ms(member.replica_id),
             )
             for member in self._replica.members
--- a/chestnutfall/coordination/controller_runner.py
+++ b/chestnutfall/coordination/controller_runner.py
@@ -12,7 +12,7 @@
 from ..clock.process_start import PROCESS_START_MS
 from ..consensus import Member, Replica, Timing
 from ..consensus.disk_folder import DiskFolder
-from ..consensus.disk_identity import begin_anew, found_group, identity_of
+from ..consensus.disk_identity import assign_new_identity, bootstrap_founder, read_identity
 from ..consensus.file_storage import FileStorage
 from ..consensus.frame import CorruptFile
 from ..consensus.messages import CONSENSUS_CODEC
@@ -36,7 +36,7 @@
 log = logging.getLogger(__name__)
 RESTART_DELAY_MS = 400
 """A full or failing disk stays so for seconds; reading it again twice a second is often enough."""
-TIMING = Timing(heartbeat_ms=60, election_min_ms=320, election_max_ms=560, call_ms=250)
+TIMING = Timing(heartbeat_ms=60, election_min_ms=320, election_max_ms=560, call_timeout_ms=250)
 """Controllers are some ms apart and use less than a tenth of a core, so five missed heartbeats
 indicate a failed leader. Requests for adapters that no gateway remembers wait that long for the
 next leader."""
@@ -101,7 +101,7 @@
         """Update the metrics of the replica and of the message traffic."""
         if self._replica is None:
             return
-        self._metrics.gauge("leads", self._replica.can_decide())
+        self._metrics.gauge("leads", self._replica.is_active_leader())
         self._metrics.gauge("term", self._replica.term)
         self._metrics.gauge("commit_index", self._replica.commit_index)
         self._metrics.gauge("members", len(self._replica.members))
@@ -132,7 +132,7 @@
         """Return the replica identity stored on this disk; an empty disk gets a new one."""
         if storage.is_empty:
             await self._begin(folder, storage)
-        return identity_of(folder)
+        return read_identity(folder)
 
     async def _begin(self, folder: DiskFolder, storage: FileStorage) -> None:
         own = self._settings.peer_address
@@ -140,10 +140,10 @@
         if self._settings.first_start and any(one.address == own for one in founders):
             # All founders know the same first addresses, so each can write the same first
             # membership without communicating.
-            await found_group(folder, storage, _founder_id(own), founders)
+            await bootstrap_founder(folder, storage, _founder_id(own), founders)
             log.info("group: founded with %s", [one.address for one in founders])
         else:
-            fresh = await begin_anew(folder, storage, self._settings.name)
+            fresh = await assign_new_identity(folder, storage, self._settings.name)
             log.info("group: empty disk, joining as %s", fresh)
 
     async def _serve(self, replica_id: str, storage: FileStorage, stop: asyncio.Event) -> None:
@@ -186,7 +186,7 @@
         try:
             await _first_of(stop, replica.failed)
             if not replica.failed.done():
-                await replica.hand_over()
+                await replica.transfer_leadership()
         finally:
             self._replica = self._joiner = self.relay.present = None
             for task in work:
--- a/chestnutfall/coordination/fleet_leader.py
+++ b/chestnutfall/coordination/fleet_leader.py
@@ -62,7 +62,7 @@
     async def run(self) -> None:
         """Run one term after the other, until cancelled."""
         while True:
-            if not self._replica.can_decide():
+            if not self._replica.is_active_leader():
                 await self._clock.sleep_ms(POLL_MS)
                 continue
             self.term = LeaderTerm(
--- a/chestnutfall/coordination/group_joiner.py
+++ b/chestnutfall/coordination/group_joiner.py
@@ -66,5 +66,5 @@
         members = {member.replica_id for member in self._replica.members}
         return (
             self._replica.replica_id in members
-            and self._replica.leader_silent_ms() < LEADER_CONTACT_MS
+            and self._replica.leader_contact_age_ms() < LEADER_CONTACT_MS
         )
--- a/chestnutfall/coordination/group_manager.py
+++ b/chestnutfall/coordination/group_manager.py
@@ -54,7 +54,7 @@
         """Maintain the membership while this controller leads, until cancelled."""
         while True:
             await self._clock.sleep_ms(TICK_MS)
-            if not self._replica.can_decide():
+            if not self._replica.is_active_leader():
                 self._led_since_ms = -1
                 continue
             if self._led_since_ms < 0:
@@ -126,7 +126,7 @@
         return not member.voter and self._silent_ms(member) > DROP_LEARNER_AFTER_MS
 
     def _has_caught_up(self, member: Member) -> bool:
-        return self._replica.progress.match(member.replica_id) >= self._replica.commit_index
+        return self._replica.progress.match_index(member.replica_id) >= self._replica.commit_index
 
     def _silent_ms(self, member: Member) -> int:
         if member.replica_id == self._replica.replica_id:
--- a/chestnutfall/coordination/leader_term.py
+++ b/chestnutfall/coordination/leader_term.py
@@ -133,7 +133,7 @@
 
     def leads(self) -> bool:
         """Whether this controller is still the only leader."""
-        return self._replica.term == self.term and self._replica.can_decide()
+        return self._replica.term == self.term and self._replica.is_active_leader()
 
     async def _wait_for_tick(self) -> None:
         waiting = self._placer.waiting or self._limits.waiting
--- a/chestnutfall/programs/controller.py
+++ b/chestnutfall/programs/controller.py
@@ -11,7 +11,7 @@
 from ..clock import SystemClock
 from ..consensus import Member, Replica, Timing
 from ..consensus.disk_folder import DiskFolder, FolderInUse
-from ..consensus.disk_identity import begin_anew, found_group, identity_of
+from ..consensus.disk_identity import assign_new_identity, bootstrap_founder, read_identity
 from ..consensus.file_storage import FileStorage
 from ..consensus.frame import CorruptFile
 from ..consensus.messages import CONSENSUS_CODEC
@@ -89,7 +89,7 @@
     if failed:
         log.error("control: stopping, this replica failed: %r", replica.failed.result())
     else:
-        await replica.hand_over()
+        await replica.transfer_leadership()
     duties_task.cancel()
     await server.stop()
     await replica.stop()
@@ -105,11 +105,11 @@
         if not storage.is_empty:
             raise FileExistsError("--bootstrap is for an empty data folder")
         members = tuple(Member(one.name, one.address) for one in settings.first_members)
-        await found_group(folder, storage, settings.name, members)
+        await bootstrap_founder(folder, storage, settings.name, members)
     elif storage.is_empty:
-        fresh = await begin_anew(folder, storage, settings.name)
+        fresh = await assign_new_identity(folder, storage, settings.name)
         log.warning("control: empty data folder, waiting to be added as %s", fresh)
-    return identity_of(folder)
+    return read_identity(folder)
 
 
 if __name__ == "__main__":
--- a/chestnutfall/tests/fakes/fake_cluster.py
+++ b/chestnutfall/tests/fakes/fake_cluster.py
@@ -1,4 +1,4 @@
-"""Real replicas on fake disks and a fake network."""
+"""A cluster of real replicas on fake disks and a fake network."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 
 class FakeCluster:
-    """Replicas by name, and the faults they can be given."""
+    """Replicas by name, which can be crashed, isolated, frozen and restarted.
+
+    All of them share one manual clock, which the test advances.
+    """
 
     def __init__(
         self,
@@ -38,7 +41,7 @@
         self._machine = machine
 
     async def bootstrap(self) -> None:
-        """Make and start every replica."""
+        """Initialise the folder of every replica and start it."""
         members = tuple(Member(name, name) for name in self.names)
         for name in self.names:
             self.folders[name] = FakeFolder(self.clock, self.rng)
@@ -48,13 +51,13 @@
             self.start(name)
 
     def add_blank(self, name: str) -> None:
-        """Start a replica with an empty disk, not yet a member."""
+        """Start a replica with an empty disk that is not a member yet."""
         self.folders[name] = FakeFolder(self.clock, self.rng)
         self.names.append(name)
         self.start(name)
 
     def start(self, name: str, process_start_ms: int | None = None) -> None:
-        """Start the process of a replica on its folder as it is."""
+        """Start a replica on the present content of its folder."""
         clock = NodeClock(self.clock)
         replica = Replica(
             name,
@@ -73,7 +76,7 @@
         self.network.connect(name, replica.handle, clock)
 
     async def crash(self, name: str) -> None:
-        """Kill a process and lose what its disk had not synced."""
+        """Kill a replica and lose the data that its disk had not synced."""
         replica = self.replicas.pop(name, None)
         if replica is not None:
             self.network.disconnect(name)
@@ -81,13 +84,13 @@
             await replica.stop()
 
     def isolate(self, name: str) -> None:
-        """Cut a replica off in both directions."""
+        """Cut the links between a replica and all others in both directions."""
         for other in self.names:
             if other != name:
                 self.network.cuts |= {(name, other), (other, name)}
 
     async def restore_all(self) -> None:
-        """End every fault and start every process."""
+        """End all faults and start all replicas that are not running."""
         self.network.cuts.clear()
         for name in self.names:
             self.folders[name].fail_with = None
@@ -98,27 +101,27 @@
             self.clocks[name].thaw()
 
     def leaders(self) -> list[Replica]:
-        """Replicas that believe to lead, whether they may decide or not."""
+        """Return the replicas in the leader role, with or without a valid lease."""
         return [one for one in self.replicas.values() if one.role is Role.LEADER]
 
-    def deciding(self) -> list[str]:
-        """Replicas that would decide now; a frozen one decides nothing."""
+    def active_leaders(self) -> list[str]:
+        """Return the names of the replicas that are active leaders now and not frozen."""
         return [
             name
             for name, one in self.replicas.items()
-            if one.can_decide() and self.clocks[name]._running.is_set()
+            if one.is_active_leader() and self.clocks[name]._running.is_set()
         ]
 
     async def leader(self, within_ms: int = 10_000) -> Replica:
-        """Wait for a replica that may decide."""
+        """Advance the clock until there is an active leader, and return it."""
         for _ in range(within_ms // 50):
-            if found := self.deciding():
+            if found := self.active_leaders():
                 return self.replicas[found[0]]
             await self.clock.advance(50)
         raise AssertionError(f"no leader within {within_ms} ms")
 
     async def propose(self, replica: Replica, command: str) -> bool:
-        """Propose and wait; whether it was acknowledged."""
+        """Propose `command`, wait up to 1 s and return whether it was acknowledged."""
         task = asyncio.ensure_future(replica.propose(command.encode()))
         for _ in range(40):
             await self.clock.advance(25)
@@ -129,7 +132,7 @@
         return False
 
     async def stop(self) -> None:
-        """Stop every replica and every message on its way."""
+        """Stop all replicas and cancel all messages in transit."""
         for name in list(self.replicas):
             await self.crash(name)
         others = [t for t in asyncio.all_tasks() if t is not asyncio.current_task()]
--- a/chestnutfall/tests/fakes/fake_folder.py
+++ b/chestnutfall/tests/fakes/fake_folder.py
@@ -1,4 +1,4 @@
-"""A data folder whose disk can fail."""
+"""A data folder in memory whose disk can fail."""
 
 from __future__ import annotations
 
@@ -12,7 +12,13 @@
 
 
 class FakeFolder(Folder):
-    """Keeps only what was synced; a crash may leave part of what was being written."""
+    """Keeps only synced data; a crash may leave a prefix of the append in progress.
+
+    Attributes
+    ----------
+    fail_with : int or None
+        errno with which every write fails; None while the disk works.
+    """
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
         self.files: dict[str, bytes] = {}
@@ -42,14 +48,14 @@
             raise OSError(self.fail_with, errno.errorcode[self.fail_with])
         self.files[name] = data
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         self.files[name] = self.files[name][:size]
 
     def remove(self, name: str) -> None:
         self.files.pop(name, None)
 
     def crash(self) -> None:
-        """Power is lost: an append under way leaves any prefix of itself."""
+        """Simulate a power loss: an append in progress leaves a random prefix of its data."""
         self._tear()
         self.fail_with = None
 
--- a/chestnutfall/tests/fakes/fake_network.py
+++ b/chestnutfall/tests/fakes/fake_network.py
@@ -1,4 +1,4 @@
-"""Calls between replicas that can be cut, delayed, doubled and lost."""
+"""A network between replicas whose messages can be lost, delayed and duplicated."""
 
 from __future__ import annotations
 
@@ -17,7 +17,15 @@
 
 
 class FakeNetwork:
-    """Connects replicas by address; cuts are in one direction."""
+    """Connects replicas by address.
+
+    Attributes
+    ----------
+    cuts : set of tuple of str
+        Pairs of sender and receiver; messages in this direction are lost without an error.
+    doubling : float
+        Probability that a request is delivered a second time, later.
+    """
 
     def __init__(self, clock: ManualClock, rng: random.Random) -> None:
         self.cuts: set[tuple[str, str]] = set()
@@ -28,19 +36,19 @@
         self._doubles: set[asyncio.Future[Any]] = set()
 
     def connect(self, address: str, handler: Handler, clock: NodeClock) -> None:
-        """Let `handler` answer at `address`."""
+        """Register `handler` for requests to `address`; `clock` is that of its process."""
         self._handlers[address] = (handler, clock)
 
     def disconnect(self, address: str) -> None:
-        """Nobody answers at `address`."""
+        """Remove the handler of `address`; calls to it then fail."""
         self._handlers.pop(address, None)
 
     def transport(self, own_address: str, clock: NodeClock) -> Transport:
-        """The transport of the replica at `own_address`."""
+        """Return the transport of the replica at `own_address`."""
         return _FakeTransport(self, own_address, clock)
 
     async def carry(self, sender: str, receiver: str, msg: Any) -> Any:
-        """Take `msg` there and the answer back, as bytes; may never return."""
+        """Deliver `msg` in encoded form and return the reply; waits for ever if either is lost."""
         data = CONSENSUS_CODEC.encode(msg)
         await self._hop(sender, receiver)
         if self._rng.random() < self.doubling:
@@ -60,7 +68,7 @@
 
     async def _deliver(self, receiver: str, data: bytes) -> bytes:
         if receiver not in self._handlers:
-            raise ConnectionError(f"nobody at {receiver}")
+            raise ConnectionError(f"no replica at {receiver}")
         handler, clock = self._handlers[receiver]
         await clock.while_running()
         try:
--- a/chestnutfall/tests/fakes/node_clock.py
+++ b/chestnutfall/tests/fakes/node_clock.py
@@ -1,4 +1,4 @@
-"""The clock of one process that can be frozen."""
+"""The clock of one simulated process, which can be frozen."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class NodeClock(Clock):
-    """Time goes on while the process is frozen, but nothing in it wakes up."""
+    """A clock whose time advances while the process is frozen, but whose sleeps don't return."""
 
     def __init__(self, base: ManualClock) -> None:
         self._base = base
@@ -16,11 +16,11 @@
         self._running.set()
 
     def freeze(self) -> None:
-        """Stop waking tasks of this process."""
+        """Freeze the process: sleeps don't return until `thaw`."""
         self._running.clear()
 
     def thaw(self) -> None:
-        """Let them go on."""
+        """Resume the process; sleeps that are over return."""
         self._running.set()
 
     async def while_running(self) -> None:
--- a/chestnutfall/tests/fakes/recorder.py
+++ b/chestnutfall/tests/fakes/recorder.py
@@ -1,4 +1,4 @@
-"""A state machine that remembers every command."""
+"""A state machine that records every command."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Recorder(StateMachine):
-    """The list of applied commands."""
+    """Keeps the applied commands in order; the outcome of a command is its log index."""
 
     def __init__(self) -> None:
         self.applied: list[str] = []
--- a/chestnutfall/tests/test_file_storage.py
+++ b/chestnutfall/tests/test_file_storage.py
@@ -1,7 +1,7 @@
-"""What a replica finds after its disk or its power failed.
+"""Recovery of a replica's storage after a crash or damage on disk.
 
-An operator restarts a controller and a change that was acknowledged is gone, or a damaged file is
-read as if it were whole. A crash tears the batch being written; a disk loses bits in old data.
+A crash tears the batch that is being written; a disk corrupts bits of older data. No acknowledged
+change may be lost, and a damaged file must not be read as if it were valid.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from tempfile import TemporaryDirectory
 
 from ..clock import ManualClock
-from ..consensus import Entry, Member, Snapshot, Stored
+from ..consensus import Entry, Member, Snapshot, StoredState
 from ..consensus.disk_folder import DiskFolder, FolderInUse
 from ..consensus.file_storage import FileStorage
 from ..consensus.frame import CorruptFile
@@ -76,7 +76,7 @@
     async def test_damaged_snapshot_is_refused(self) -> None:
         storage = await self._store(1)
         snapshot = Snapshot(1, 1, (), b"state")
-        await self._run(storage.save(Stored(HardState(1), snapshot)))
+        await self._run(storage.save(StoredState(HardState(1), snapshot)))
         self.folder.files["snapshot"] = self.folder.files["snapshot"][:-1] + b"\0"
         with self.assertRaisesRegex(CorruptFile, "snapshot"):
             FileStorage(self.folder).load()
@@ -85,7 +85,7 @@
         storage = await self._store(3)
         old_log = dict(self.folder.files)
         snapshot = Snapshot(2, 1, (), b"state")
-        await self._run(storage.save(Stored(HardState(1), snapshot, (Entry(3, 1, b"x"),))))
+        await self._run(storage.save(StoredState(HardState(1), snapshot, (Entry(3, 1, b"x"),))))
         self.folder.files = {**old_log, "snapshot": self.folder.files["snapshot"]}
         stored = FileStorage(self.folder).load()
         self.assertEqual(stored.snapshot, snapshot)
@@ -113,7 +113,7 @@
             await folder.append("wal-1", b"def")
             await folder.replace("snapshot", b"one")
             await folder.replace("snapshot", b"two")
-            folder.cut("wal-1", 4)
+            folder.truncate("wal-1", 4)
             folder.close()
             again = DiskFolder(Path(path))
             self.assertEqual(sorted(again.names()), ["snapshot", "wal-1"])
--- a/chestnutfall/tests/test_fleet_leader.py
+++ b/chestnutfall/tests/test_fleet_leader.py
@@ -284,7 +284,7 @@
         old = self.name
         while self.name == old:
             await self.cluster.clock.advance(50)
-            self.name = next((n for n in self.cluster.deciding() if n != old), old)
+            self.name = next((n for n in self.cluster.active_leaders() if n != old), old)
         await self.cluster.clock.advance(200)
 
     async def _place(self, session: GatewaySession, ticket: str, prompt_tokens: int = 10) -> None:
--- a/chestnutfall/tests/test_replica.py
+++ b/chestnutfall/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Leadership, membership and repair of the replicated log, one fault at a time."""
+"""Elections, leader lease, membership changes and repair of the replicated log."""
 
 from __future__ import annotations
 
@@ -32,44 +32,45 @@
         return [name for name in self.cluster.names if name != replica.replica_id]
 
     async def test_isolated_leader_stops_deciding_before_a_successor_can(self) -> None:
-        # Two operators get different answers from two controllers. The leader is cut off in
-        # silence and still believes to lead; its lease must end before the others elect.
+        # The leader loses contact to all others but is not told so. Its lease must expire before
+        # the others can elect a successor; else two controllers give different answers.
         self.cluster.isolate(self.leader.replica_id)
         successor = None
         for _ in range(400):
             await self.cluster.clock.advance(5)
-            deciding = self.cluster.deciding()
-            self.assertLessEqual(len(deciding), 1)
-            if deciding and deciding[0] != self.leader.replica_id:
-                successor = deciding[0]
+            active = self.cluster.active_leaders()
+            self.assertLessEqual(len(active), 1)
+            if active and active[0] != self.leader.replica_id:
+                successor = active[0]
                 break
         self.assertIsNotNone(successor)
         with self.assertRaises(NotLeader):
             await self.leader.propose(b"late")
 
     async def test_leader_that_was_frozen_does_not_decide_when_it_wakes(self) -> None:
-        # The old leader wakes after a long pause, with everything as it was when it fell asleep.
+        # The leader's process resumes after a long pause with its state unchanged.
         self.cluster.clocks[self.leader.replica_id].freeze()
         await self.cluster.clock.advance(5000)
         self.cluster.clocks[self.leader.replica_id].thaw()
-        self.assertFalse(self.leader.can_decide())
+        self.assertFalse(self.leader.is_active_leader())
 
     async def test_follower_that_misses_the_leader_does_not_depose_it(self) -> None:
-        # One follower stops hearing the leader but reaches the other one, which does hear it.
-        # If that one gave its vote, two controllers would decide inside the first one's lease.
+        # One follower receives nothing from the leader but reaches the other follower, which
+        # does. If that one granted its vote, a second leader would be active within the first
+        # one's lease.
         for name in self._others(self.leader):
             with self.subTest(deaf=name):
                 self.cluster.network.cuts = {(self.leader.replica_id, name)}
                 term = self.leader.term
                 for _ in range(400):
                     await self.cluster.clock.advance(25)
-                    self.assertLessEqual(len(self.cluster.deciding()), 1)
+                    self.assertLessEqual(len(self.cluster.active_leaders()), 1)
                 self.assertEqual(self.leader.term, term)
-                self.assertTrue(self.leader.can_decide())
+                self.assertTrue(self.leader.is_active_leader())
 
     async def test_replica_that_was_cut_off_comes_back_without_an_election(self) -> None:
-        # A replica alone for long would raise its term with every timeout, and depose the leader
-        # when the cut heals: callers would see an election for each repaired cable.
+        # Without the pre-vote an isolated replica raises its term with every election timeout,
+        # and deposes a healthy leader when the partition heals.
         alone = self._others(self.leader)[0]
         self.cluster.isolate(alone)
         await self.cluster.clock.advance(20_000)
@@ -80,8 +81,8 @@
         self.assertEqual(self.cluster.replicas[alone].term, term)
 
     async def test_restarted_follower_votes_for_nobody_at_first(self) -> None:
-        # It voted "yes, I hear the leader" a moment ago and has forgotten it. Its vote now would
-        # elect a second leader inside the first one's lease.
+        # After a restart a follower doesn't know that it just had contact with the leader. If it
+        # voted now, it could help elect a second leader within the first one's lease.
         voter, candidate = self._others(self.leader)
         await self.cluster.crash(voter)
         self.cluster.start(voter)
@@ -102,8 +103,8 @@
         raise AssertionError("no answer")
 
     async def test_vote_is_remembered_by_a_voter_that_crashes_right_after_it(self) -> None:
-        # The voter answers and loses power before its disk has the vote; back again it votes for
-        # another candidate of the same term, and both win.
+        # A voter that replies before its vote is synced and then crashes would vote a second
+        # time in the same term, and two candidates could win.
         voter, candidate = self._others(self.leader)
         self.cluster.isolate(voter)
         await self.cluster.clock.advance(700)
@@ -116,8 +117,8 @@
         self.assertFalse((await self._ask(voter, second)).granted)
 
     async def test_acknowledged_entry_survives_a_crash_right_after_it(self) -> None:
-        # A follower answers "stored" and loses power; the leader counted it for the majority and
-        # told the operator "accepted".
+        # A follower acknowledges an entry and loses power. The leader counted it towards the
+        # majority, so the entry has to be on disk.
         follower = self._others(self.leader)[0]
         replica = self.cluster.replicas[follower]
         self.cluster.isolate(follower)
@@ -130,7 +131,7 @@
         self.assertEqual(self.cluster.replicas[follower].log.last_index, last + 1)
 
     async def test_candidate_that_lacks_entries_gets_no_vote(self) -> None:
-        # Its election would throw away what a majority has acknowledged.
+        # Its election would discard entries that a majority has acknowledged.
         self.assertTrue(await self.cluster.propose(self.leader, "accepted"))
         voter, candidate = self._others(self.leader)
         await self.cluster.clock.advance(500)
@@ -140,8 +141,8 @@
             self.assertFalse((await self._ask(voter, request)).granted)
 
     async def test_majority_of_an_earlier_terms_entry_is_not_committed_yet(self) -> None:
-        # Such an entry can still be replaced by a later leader (Raft paper, figure 8). The
-        # operator would be told "accepted" for a change that then disappears.
+        # Such an entry can still be replaced by a later leader (Raft paper, figure 8); if it
+        # counted as committed, an acknowledged change could disappear.
         self.cluster.isolate(self.leader.replica_id)
         pending = asyncio.ensure_future(self.leader.propose(b"earlier"))
         await self.cluster.clock.advance(20)
@@ -150,15 +151,15 @@
         assert leadership is not None
         leadership.term += 1
         for name in self.cluster.names:
-            leadership.progress.matched(name, index)
+            leadership.progress.record_match(name, index)
         leadership.advance_commit()
         self.assertLess(self.leader.commit_index, index)
         pending.cancel()
 
     async def test_graceful_stop_moves_leadership_at_once(self) -> None:
-        task = asyncio.ensure_future(self.leader.hand_over())
+        task = asyncio.ensure_future(self.leader.transfer_leadership())
         waited_ms = 0
-        while not [n for n in self.cluster.deciding() if n != self.leader.replica_id]:
+        while not [n for n in self.cluster.active_leaders() if n != self.leader.replica_id]:
             await self.cluster.clock.advance(10)
             waited_ms += 10
             self.assertLess(waited_ms, 600)
@@ -173,8 +174,8 @@
         self.assertEqual((follower.term, follower.log.last_index), before)
 
     async def test_failing_sync_stops_the_replica_and_acknowledges_nothing(self) -> None:
-        # The disk reports an error once and "success" after it, without the data. The replica
-        # must not try again: what it acknowledged has to be there after a restart.
+        # After a failed sync a disk may report success without having stored the data. The
+        # replica must not retry, else an acknowledged entry could be missing after a restart.
         for name in self.cluster.names:
             self.cluster.folders[name].fail_with = errno.EIO
         self.assertFalse(await self.cluster.propose(self.leader, "lost"))
@@ -205,11 +206,11 @@
 
     async def _replace_disk(self, lost: str) -> str:
         await self.cluster.crash(lost)
-        fresh = f"{lost}-2"
-        self.cluster.add_blank(fresh)
+        new_id = f"{lost}-2"
+        self.cluster.add_blank(new_id)
         leader = await self.cluster.leader()
-        await self._change(leader, (*leader.members, Member(fresh, fresh, voter=False)))
-        return fresh
+        await self._change(leader, (*leader.members, Member(new_id, new_id, voter=False)))
+        return new_id
 
     async def _change(self, leader: Replica, members: tuple[Member, ...]) -> None:
         task = asyncio.ensure_future(leader.change_members(members))
@@ -217,29 +218,29 @@
         await task
 
     async def test_second_host_lost_right_after_a_repair_loses_nothing(self) -> None:
-        # One host loses its disk and is replaced; right after the repair another one dies. Every
-        # acknowledged change must still be on the two that are left, and changes go on.
+        # One host loses its disk and is replaced; right after the repair another host fails.
+        # The two that are left must hold every acknowledged change and accept new ones.
         for number in range(30):
             self.assertTrue(await self.cluster.propose(self.leader, str(number)))
         lost, second = self._others(self.leader)
-        fresh = await self._replace_disk(lost)
+        new_id = await self._replace_disk(lost)
         leader = await self.cluster.leader()
         await self._change(
             leader,
-            tuple(replace(m, voter=True) if m.replica_id == fresh else m for m in leader.members),
+            tuple(replace(m, voter=True) if m.replica_id == new_id else m for m in leader.members),
         )
         await self._change(leader, tuple(m for m in leader.members if m.replica_id != lost))
         await self.cluster.crash(second)
         leader = await self.cluster.leader()
         self.assertTrue(await self.cluster.propose(leader, "after"))
-        for name in (fresh, leader.replica_id):
+        for name in (new_id, leader.replica_id):
             await self.cluster.clock.advance(500)
             self.assertEqual(self._applied(name), [str(n) for n in range(30)] + ["after"])
 
     async def test_learner_that_lags_is_not_promoted(self) -> None:
-        fresh = await self._replace_disk(self._others(self.leader)[0])
+        new_id = await self._replace_disk(self._others(self.leader)[0])
         leader = await self.cluster.leader()
-        self.cluster.isolate(fresh)
+        self.cluster.isolate(new_id)
         self.assertTrue(await self.cluster.propose(leader, "more"))
         voters = tuple(replace(member, voter=True) for member in leader.members)
         with self.assertRaisesRegex(ValueError, "caught up"):
@@ -257,8 +258,8 @@
         pending.cancel()
 
     async def test_host_with_a_new_disk_does_not_vote_by_its_old_identity(self) -> None:
-        # A host lost its disk and the votes on it; answering a vote request meant for the lost
-        # identity could elect two leaders in one term.
+        # A host that lost its disk has no record of its votes. If it answered a vote request for
+        # its old identity, two leaders could be elected in one term.
         lost = self._others(self.leader)[0]
         await self.cluster.crash(lost)
         self.cluster.add_blank(f"{lost}-2")
@@ -269,8 +270,8 @@
         self.assertEqual(blank.term, 0)
 
     async def test_call_that_is_given_up_disturbs_nobody_else(self) -> None:
-        # A call runs into its deadline while its record is being synced. Others wait for the same
-        # sync, an election among them; none of them may end with it.
+        # A call is cancelled at its deadline while its record is being synced. Other tasks, such
+        # as a campaign, wait for the same sync and must not be cancelled with it.
         follower = self.cluster.replicas[self._others(self.leader)[0]]
         record = HardState(follower.term, follower.voted_for)
         first = asyncio.ensure_future(_await(follower.journal.write([record])))
@@ -295,22 +296,23 @@
         await cluster.clock.advance(500)
         cluster.isolate(lost)
         passed_ms = 0
-        while not [name for name in cluster.deciding() if name != lost]:
+        while not [name for name in cluster.active_leaders() if name != lost]:
             await cluster.clock.advance(10)
             passed_ms += 10
         await cluster.stop()
         return passed_ms
 
     async def test_a_refused_candidate_asks_again_before_a_whole_timeout(self) -> None:
-        # Callers wait for a leader. The first candidate asks while another voter, who heard a
-        # heartbeat a little later, still refuses; asking again after a whole timeout only, the
-        # group stays without a leader for two of them.
+        # The first candidate asks while another voter, which received the last heartbeat a
+        # little later, still refuses. If it retried only after a whole election timeout, the
+        # group would have no leader for two timeouts.
         waits_ms = [await self._without_leader_ms(seed) for seed in range(12)]
         self.assertLess(max(waits_ms), 1_400)
 
     async def test_what_a_process_spent_on_starting_counts_as_silence(self) -> None:
-        # After all hosts lost power a replica votes for nobody until one timeout after its
-        # start, in case it heard a leader before. It did not while it loaded its libraries.
+        # A restarted replica grants no vote for one election timeout, in case it had contact
+        # with a leader before. The time its process took to load its libraries counts too;
+        # otherwise the first election after a power loss of all hosts is delayed by it.
         cluster = FakeCluster(3)
         await cluster.bootstrap()
         await cluster.leader()
--- a/properties/safeguards/consensus_mutants.py
+++ b/properties/safeguards/consensus_mutants.py
@@ -1,4 +1,4 @@
-"""Safeguards of the replicated log."""
+"""Mutants that remove safeguards of the replicated log."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
     Mutant(
         "restarted follower votes at once",
         _ELECTION,
-        "        self._heard_leader_ms = min(process_start_ms or now_ms, now_ms)",
-        "        self._heard_leader_ms = -10_000",
+        "        self._leader_contact_ms = min(process_start_ms or now_ms, now_ms)",
+        "        self._leader_contact_ms = -10_000",
         _REPLICA_TEST,
     ),
     Mutant(
@@ -43,8 +43,8 @@
         "vote not stored before it is given",
         _ELECTION,
         "        await replica.journal.write([HardState(replica.term, replica.voted_for)])\n"
-        "        still = ",
-        "        still = ",
+        "        unchanged = ",
+        "        unchanged = ",
         _REPLICA_TEST,
     ),
     Mutant(
@@ -64,8 +64,8 @@
     Mutant(
         "vote for a shorter log",
         _ELECTION,
-        "        up_to_date = (req.last_term, req.last_index) >= ours",
-        "        up_to_date = bool(ours)",
+        "        up_to_date = (req.last_term, req.last_index) >= own_position",
+        "        up_to_date = bool(own_position)",
         _REPLICA_TEST,
     ),
     Mutant(
@@ -99,14 +99,14 @@
     Mutant(
         "damage in the middle taken for a torn tail",
         "chestnutfall/consensus/frame.py",
-        "    for later in range(at + 1, len(data) - _HEAD.size):",
-        "    for later in range(0):",
+        "    for later_offset in range(offset + 1, len(data) - _HEADER.size):",
+        "    for later_offset in range(0):",
         _STORAGE_TEST,
     ),
     Mutant(
         "torn tail not cut",
         "chestnutfall/consensus/file_storage.py",
-        "            self._folder.cut(name, whole)",
+        "            self._folder.truncate(name, valid_bytes)",
         "            pass",
         _STORAGE_TEST,
     ),
@@ -120,21 +120,21 @@
     Mutant(
         "callers share one cancellable sync",
         "chestnutfall/consensus/journal.py",
-        "        mine = asyncio.shield(self._synced)",
-        "        mine = self._synced",
+        "        shielded = asyncio.shield(self._synced)",
+        "        shielded = self._synced",
         _REPLICA_TEST,
     ),
     Mutant(
         "start of the process does not count as silence",
         _ELECTION,
-        "        self._heard_leader_ms = min(process_start_ms or now_ms, now_ms)",
-        "        self._heard_leader_ms = now_ms",
+        "        self._leader_contact_ms = min(process_start_ms or now_ms, now_ms)",
+        "        self._leader_contact_ms = now_ms",
         _REPLICA_TEST,
     ),
     Mutant(
         "refused candidate waits a whole timeout",
         _ELECTION,
-        "            self._ask_again_soon()\n",
+        "            self._schedule_early_retry()\n",
         "",
         _REPLICA_TEST,
     ),
--- a/properties/test_replicated_log.py
+++ b/properties/test_replicated_log.py
@@ -1,8 +1,8 @@
-"""The replicated log under every mix of faults.
+"""The replicated log under random sequences of faults.
 
-Operators see an acknowledged change vanish, or two controllers that both say they lead. Faults
-come in any order: crash with unsynced data torn, restart, cuts in one direction, freezes, failing
-disks, while commands are proposed; messages are delayed, doubled and late throughout.
+No acknowledged change may be lost, and no two controllers may be active leaders at once. Faults
+come in any order while commands are proposed: crashes that tear unsynced data, restarts, one-way
+cuts, freezes, failing disks. Messages are delayed and duplicated throughout.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class ReplicatedLog(RuleBasedStateMachine):
-    """Drives real replicas and checks them after each step."""
+    """Runs real replicas with random faults and checks the safety properties after each step."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -66,7 +66,7 @@
         self.run(self._advance(ms))
 
     async def _advance(self, ms: int) -> None:
-        # Small steps, so that the invariant about leases is looked at while time passes.
+        # Small steps, so that the invariants are checked while leases expire.
         for _ in range(0, ms, 25):
             await self.cluster.clock.advance(min(25, ms))
             self.check()
@@ -114,8 +114,8 @@
         for replica in self.cluster.leaders():
             known = self.leader_of.setdefault(replica.term, replica.replica_id)
             assert known == replica.replica_id, f"two leaders in term {replica.term}"
-        deciding = self.cluster.deciding()
-        assert len(deciding) <= 1, f"{deciding} decide at the same time"
+        active = self.cluster.active_leaders()
+        assert len(active) <= 1, f"{active} decide at the same time"
         for command, task in self.pending:
             if task.done() and not task.cancelled() and task.exception() is None:
                 self.acknowledged.add(command)
