--- a/chestnutfall/caller_edge/caller_app.py
+++ b/chestnutfall/caller_edge/caller_app.py
@@ -12,7 +12,7 @@
 
 from ..clock import Clock
 from ..engine_edge import AnswerEvent, Batches
-from ..membership import SiteAgent
+from ..membership import GatewayAgent
 from ..observability.metrics import Metrics
 from ..plain_edge import PlainProxy
 from ..requests import CallerRequest, Refusal, digest_of
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        agent: SiteAgent,
+        agent: GatewayAgent,
         dispatcher: Dispatcher,
         claims: ClaimClient,
         plain: PlainProxy,
@@ -69,7 +69,7 @@
         return web.json_response({"status": "ok"})
 
     async def _readyz(self, request: web.Request) -> web.Response:
-        ready = self.ready and self._agent.in_force()
+        ready = self.ready and self._agent.is_config_confirmed()
         body = {"ready": ready, "revision": self._agent.revision}
         return web.json_response(body, status=200 if ready else 503)
 
@@ -134,7 +134,7 @@
             raise Refusal(503, "draining", "this host is shutting down", retry_after_ms=1000)
         # A gateway that is cut off may act on a grant that was revoked. Refusing is the truthful
         # answer once the lease is over; within it an election goes unnoticed by callers.
-        if not self._agent.in_force():
+        if not self._agent.is_config_confirmed():
             message = "the configuration in force can't be confirmed"
             raise Refusal(503, "configuration_unconfirmed", message, retry_after_ms=1000)
         kind, _, key = request.headers.get("Authorization", "").partition(" ")
--- a/chestnutfall/membership/__init__.py
+++ b/chestnutfall/membership/__init__.py
@@ -1,10 +1,10 @@
-"""Which upstreams there are, and what the controllers say is in force."""
+"""Upstreams announced to a gateway, and the gateway's session with the controllers."""
 
 from __future__ import annotations
 
 from .announcement import Announcement
-from .site_agent import SiteAgent
+from .gateway_agent import GatewayAgent
 from .upstream import Upstream
 from .upstream_registry import UpstreamRegistry
 
-__all__ = ["Announcement", "SiteAgent", "Upstream", "UpstreamRegistry"]
+__all__ = ["Announcement", "GatewayAgent", "Upstream", "UpstreamRegistry"]
--- a/chestnutfall/membership/announce_app.py
+++ b/chestnutfall/membership/announce_app.py
@@ -1,4 +1,4 @@
-"""The HTTP application that upstreams announce themselves to."""
+"""HTTP application that receives the announcements of upstreams."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ..findings.json_document import read_json_text
 from ..findings.typed_document import to_typed
 from .announcement import Announcement
-from .site_agent import SiteAgent
+from .gateway_agent import GatewayAgent
 from .upstream_registry import UpstreamRegistry
 
 MAX_BODY_BYTES = 16 * 1024
@@ -19,14 +19,18 @@
 
 
 class AnnounceApp:
-    """Takes announcements that carry the key of their service."""
+    """Registers announcements that carry the announce key of their service.
 
-    def __init__(self, agent: SiteAgent, registry: UpstreamRegistry) -> None:
+    The answer is 400 for a malformed announcement, 401 for a wrong key, and 409 for one that the
+    registry refuses.
+    """
+
+    def __init__(self, agent: GatewayAgent, registry: UpstreamRegistry) -> None:
         self._agent = agent
         self._registry = registry
 
     def build(self) -> web.Application:
-        """The aiohttp application."""
+        """Return a new aiohttp application."""
         app = web.Application(client_max_size=MAX_BODY_BYTES)
         app.router.add_post("/v1/announcements", self._announce)
         return app
@@ -38,12 +42,14 @@
         if parsed.is_error():
             return _refused(400, "; ".join(str(finding) for finding in parsed.error))
         announcement = parsed.ok
-        if not self._is_genuine(announcement.service, request.headers.get("Authorization", "")):
+        if not self._has_service_key(
+            announcement.service, request.headers.get("Authorization", "")
+        ):
             return _refused(401, "the key is not that of the service")
-        problem = self._registry.hear(announcement)
+        problem = self._registry.register(announcement)
         return _refused(409, problem) if problem else web.json_response({"heard": True})
 
-    def _is_genuine(self, service: str, header: str) -> bool:
+    def _has_service_key(self, service: str, header: str) -> bool:
         known = self._agent.config.services.get(service)
         if known is None:
             return False
--- a/chestnutfall/membership/announcement.py
+++ b/chestnutfall/membership/announcement.py
@@ -1,4 +1,4 @@
-"""What an upstream says of itself."""
+"""The announcement that an upstream sends to gateways."""
 
 from __future__ import annotations
 
@@ -14,18 +14,26 @@
 
 @dataclass(frozen=True, config=ConfigDict(extra="ignore"))
 class Announcement:
-    """One announcement, repeated well within its TTL.
+    """State of an upstream, which it sends again well within `ttl_ms`.
+
+    Unknown keys in the JSON are ignored.
 
     Attributes
     ----------
+    address : str
+        IP and port.
     incarnation : str
-        New with each start of the upstream.
-    state : {"serving", "leaving"}
-        A leaving upstream finishes its work and takes no new one.
+        Identifies one process of the upstream; new with each start.
     ttl_ms : int
-        How long the announcement holds.
+        Time for which the announcement is valid after its receipt.
+    state : {"serving", "leaving"}
+        A leaving upstream finishes its work and accepts no new work.
+    fencing : {"checked", "ignored"}
+        Whether the upstream refuses orders with a stale fencing token.
+    slots : int
+        Adapters that an engine can hold at once.
     running, waiting : int
-        Load report; it lags behind.
+        Load of the upstream, at the time of sending.
     """
 
     name: Name
--- a/chestnutfall/membership/site_agent.py
+++ b/chestnutfall/membership/gateway_agent.py
@@ -1,4 +1,4 @@
-"""The gateway's session with the controllers."""
+"""A gateway's session with the controllers."""
 
 from __future__ import annotations
 
@@ -29,21 +29,42 @@
 NOTHING_APPLIED = -1
 
 
-class SiteAgent:
-    """Keeps configuration, ownership and the session lease of one gateway.
+class GatewayAgent:
+    """Keeps a gateway's session alive and holds what the controllers sent to it.
+
+    It sends heartbeats, and applies configuration, engine ownership, the list of gateways and
+    the session's lease from the replies.
+
+    Parameters
+    ----------
+    session : str
+        Name and incarnation of this gateway.
+    address : str
+        IP and port for other gateways.
+    site : str
+        Data centre of this gateway.
+    config_lease_ms : int
+        How long a confirmed configuration may be served without a new confirmation.
 
     Attributes
     ----------
     config : TypedConfig
-        Configuration in force at this data centre.
+        Newest configuration received for this data centre.
     revision : int
         Its revision; -1 before the first.
     owners : dict of str to Ownership
         Owner of each engine.
     gateways : dict of str to GatewayAddress
         Live gateways by session.
+    leaving : bool
+        Set by the gateway when it drains: it then owns no engine, and its heartbeats ask for none.
+    acting : callable
+        Returns the engines that this gateway still acts for, also while it hands them over;
+        sent with each heartbeat.
+    on_change : callable
+        Called after each reply has been applied.
     on_suspects : callable
-        Told which requests may end upstreams.
+        Called with the requests suspected of ending upstreams, when they changed.
     """
 
     def __init__(
@@ -80,20 +101,24 @@
         self._give_up: frozenset[str] = frozenset()
         self._sent_engines: tuple[EngineSeen, ...] | None = None
 
-    # What the rest of the gateway asks
+    # Queries
 
-    def in_force(self) -> bool:
-        """Whether a quorum confirmed this configuration within `config_lease_ms`.
+    def is_config_confirmed(self) -> bool:
+        """Whether the controllers confirmed this configuration within `config_lease_ms`.
 
-        Nothing is served before the first confirmation: a restarted gateway must not act on
-        what it remembers.
+        A gateway serves nothing before the first confirmation after its start, so it never
+        serves with a configuration from before a restart.
         """
         if self._confirmed_ms is None:
             return False
         return self._clock.now_ms() < self._confirmed_ms + self._config_lease_ms
 
-    def may_act_for(self, engine: str) -> int | None:
-        """Epoch under which this gateway may act for `engine` now; None when it may not."""
+    def ownership_epoch(self, engine: str) -> int | None:
+        """Return the epoch of this gateway's ownership of `engine`.
+
+        None when this gateway is not the owner, was asked to give up the engine, is leaving, or
+        has lost its lease; it must not act for the engine then.
+        """
         owner = self.owners.get(engine)
         if owner is None or owner.owner != self.session or engine in self._give_up:
             return None
@@ -105,29 +130,29 @@
         """Whether the session's lease is valid."""
         return self._clock.now_ms() < self._lease_until_ms
 
-    # The session
+    # Heartbeats
 
     async def run(self) -> None:
-        """Send heartbeats for ever."""
+        """Send heartbeats until cancelled, with a pause of `HEARTBEAT_MS` after each."""
         while True:
-            await self.beat()
+            await self.send_heartbeat()
             await self._clock.sleep_ms(HEARTBEAT_MS)
 
-    async def beat(self) -> None:
-        """Send one heartbeat and take over the answer."""
+    async def send_heartbeat(self) -> None:
+        """Send one heartbeat and apply the reply; without a usable reply nothing changes."""
         sent_ms = self._clock.now_ms()
         heartbeat = self._heartbeat()
         try:
             reply = await self._client.ask(heartbeat, HEARTBEAT_DEADLINE_MS)
         except NoController as exc:
             log.warning("session: no controller answers: %s", exc)
-            # The next leader may be a new one that has no list of engines from us.
+            # The next reply may come from a new leader, which doesn't have the list of engines.
             self._sent_engines = None
             return
         if not isinstance(reply, HeartbeatReply):
             log.error("session: refused: %s", reply)
             return
-        self._take_reply(reply, sent_ms)
+        self._apply_reply(reply, sent_ms)
 
     def _heartbeat(self) -> Heartbeat:
         engines = tuple(
@@ -155,10 +180,10 @@
             self._suspects_known,
         )
 
-    def _take_reply(self, reply: HeartbeatReply, sent_ms: int) -> None:
+    def _apply_reply(self, reply: HeartbeatReply, sent_ms: int) -> None:
         if reply.revision < self.revision:
-            # A replica that lags behind, or a cluster that lost data. An accepted revision never
-            # reverts: we keep ours and stop serving when its confirmation runs out.
+            # The replica lags behind, or the cluster lost data. An accepted revision is never
+            # reverted: the newer one stays, and serving stops when its confirmation expires.
             log.error("config: ignored revision %d, %d is applied", reply.revision, self.revision)
             return
         if reply.full is not None:
@@ -166,7 +191,7 @@
         for delta in reply.deltas:
             self._apply_delta(delta)
         if reply.owners is not None:
-            # A leader that is new to us has no list of our engines yet.
+            # Another leader than before doesn't have the list of engines yet.
             if reply.ownership_version.split(".")[0] != self._ownership_version.split(".")[0]:
                 self._sent_engines = None
             self.owners = {one.engine: one for one in reply.owners}
@@ -176,7 +201,8 @@
             self._suspects_known = reply.suspects.changes
             self.on_suspects(reply.suspects)
         self._give_up = frozenset(reply.give_up)
-        # The lease counts from when we sent: the controller heard us later than that.
+        # The controller received the heartbeat later than it was sent. So a lease that is counted
+        # from the sending ends here before it ends at the controller.
         self._lease_until_ms = sent_ms + reply.lease_ms
         if self.revision == reply.revision:
             if self._merged.digest == reply.digest:
@@ -194,7 +220,7 @@
         log.info("config: revision %d applied as a whole", self.revision)
 
     def _apply_delta(self, delta: ConfigDelta) -> None:
-        # Deltas may come twice or with a gap; only the next one fits.
+        # Deltas may be repeated, or some may be missing; only the next revision can be applied.
         if delta.revision != self.revision + 1:
             return
         touched = self._layers.apply(json.loads(delta.patches))
--- a/chestnutfall/membership/upstream.py
+++ b/chestnutfall/membership/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream as this gateway knows it."""
+"""An upstream known from its announcements."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """The newest announcement of an upstream and when it was heard."""
+    """The newest announcement of an upstream, and the time of its receipt in ms."""
 
     announcement: Announcement
-    heard_ms: int
+    received_ms: int
 
     @property
     def name(self) -> str:
@@ -21,15 +21,15 @@
 
     @property
     def address(self) -> str:
-        """IP and port."""
+        """IP and port of the upstream."""
         return self.announcement.address
 
     @property
     def instance(self) -> str:
-        """Name of the upstream's present incarnation."""
+        """Name and incarnation, which together identify one process of the upstream."""
         return f"{self.name}/{self.announcement.incarnation}"
 
     def takes_work(self, now_ms: int) -> bool:
-        """Whether new work may be sent to it."""
-        heard = now_ms < self.heard_ms + self.announcement.ttl_ms
-        return heard and self.announcement.state == "serving"
+        """Whether the announcement is still valid and the upstream accepts new work."""
+        is_current = now_ms < self.received_ms + self.announcement.ttl_ms
+        return is_current and self.announcement.state == "serving"
--- a/chestnutfall/ownership/engine_owners.py
+++ b/chestnutfall/ownership/engine_owners.py
@@ -9,7 +9,7 @@
 
 from ..clock import Clock
 from ..engine_edge import EngineApi
-from ..membership import SiteAgent, UpstreamRegistry
+from ..membership import GatewayAgent, UpstreamRegistry
 from ..observability.metrics import Metrics
 from .engine_owner import EngineOwner
 from .load_permits import LoadPermits
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        agent: SiteAgent,
+        agent: GatewayAgent,
         registry: UpstreamRegistry,
         api: EngineApi,
         permits: LoadPermits,
@@ -59,18 +59,18 @@
     def reconcile_ownership(self) -> None:
         """Start and end owners so that they match the ownership assigned by the controllers."""
         for engine, (epoch, owner, task) in list(self._owners.items()):
-            if self._agent.may_act_for(engine) != epoch:
+            if self._agent.ownership_epoch(engine) != epoch:
                 task.cancel()
                 del self._owners[engine]
                 self._close(engine, owner)
         for engine in self._agent.owners:
-            may_act = self._agent.may_act_for(engine)
+            may_act = self._agent.ownership_epoch(engine)
             if may_act is not None and engine not in self._owners and engine not in self._closing:
                 self._begin(engine, may_act)
 
     def _begin(self, engine: str, epoch: int) -> None:
         def current_epoch() -> int | None:
-            return epoch if self._agent.may_act_for(engine) == epoch else None
+            return epoch if self._agent.ownership_epoch(engine) == epoch else None
 
         owner = EngineOwner(
             engine,
--- a/chestnutfall/peers/peer_links.py
+++ b/chestnutfall/peers/peer_links.py
@@ -7,7 +7,7 @@
 
 from ..clock import Clock
 from ..limits.messages import HeardLimit
-from ..membership import SiteAgent
+from ..membership import GatewayAgent
 from ..ownership import (
     EngineBackoff,
     EngineLimit,
@@ -29,7 +29,7 @@
     """Asks whichever gateway owns an engine."""
 
     def __init__(
-        self, agent: SiteAgent, desk: EngineOwners, clock: Clock, tls: TlsFiles | None
+        self, agent: GatewayAgent, desk: EngineOwners, clock: Clock, tls: TlsFiles | None
     ) -> None:
         self._agent = agent
         self._desk = desk
--- a/chestnutfall/plain_edge/plain_proxy.py
+++ b/chestnutfall/plain_edge/plain_proxy.py
@@ -11,7 +11,7 @@
 from ..clock import Clock
 from ..config.caller import Caller
 from ..config.service import Service
-from ..membership import SiteAgent, Upstream, UpstreamRegistry
+from ..membership import GatewayAgent, Upstream, UpstreamRegistry
 from ..observability.metrics import Metrics
 from ..quarantine import RequestQuarantine
 from ..requests import NOT_RUN_STATUSES, Executed, Refusal, digest_of, fingerprint_of
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        agent: SiteAgent,
+        agent: GatewayAgent,
         registry: UpstreamRegistry,
         claims: ClaimClient,
         quarantine: RequestQuarantine,
--- a/chestnutfall/programs/gateway.py
+++ b/chestnutfall/programs/gateway.py
@@ -15,7 +15,7 @@
 from ..engine_edge.http_engine_api import ATTEMPT_HEADER, HttpEngineApi
 from ..limits.known_limits import KnownLimits
 from ..limits.messages import HeardLimit
-from ..membership import SiteAgent, UpstreamRegistry
+from ..membership import GatewayAgent, UpstreamRegistry
 from ..membership.announce_app import AnnounceApp
 from ..observability.json_logs import start_logs
 from ..observability.metrics import Metrics
@@ -70,7 +70,7 @@
         tracer = start_tracing(settings.observability.trace_file, "gateway", settings.name)
         self._client = ControlClient(settings.controllers, self._clock, tls)
         self._registry = UpstreamRegistry(self._clock)
-        self._agent = SiteAgent(
+        self._agent = GatewayAgent(
             session,
             settings.peer_listen,
             settings.data_centre,
@@ -211,7 +211,7 @@
         await self._desk.close()
         agent.cancel()
         await asyncio.gather(agent, return_exceptions=True)
-        await self._agent.beat()
+        await self._agent.send_heartbeat()
         await self._claims.close()
 
 
--- a/chestnutfall/routing/dispatcher.py
+++ b/chestnutfall/routing/dispatcher.py
@@ -20,7 +20,7 @@
     EngineRefused,
     EngineRequest,
 )
-from ..membership import SiteAgent, Upstream, UpstreamRegistry
+from ..membership import GatewayAgent, Upstream, UpstreamRegistry
 from ..observability.metrics import Metrics
 from ..peers import PeerLinks
 from ..quarantine import RequestQuarantine
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        agent: SiteAgent,
+        agent: GatewayAgent,
         registry: UpstreamRegistry,
         links: PeerLinks,
         api: EngineApi,
--- a/chestnutfall/routing/tickets.py
+++ b/chestnutfall/routing/tickets.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..clock import Clock
-from ..membership import SiteAgent, Upstream, UpstreamRegistry
+from ..membership import GatewayAgent, Upstream, UpstreamRegistry
 from ..observability.metrics import Metrics
 from ..ownership import TicketGrant, TicketRefusal, TicketRequest
 from ..ownership.engine_send_limit import LIMITED
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        agent: SiteAgent,
+        agent: GatewayAgent,
         registry: UpstreamRegistry,
         links: PeerLinks,
         signals: KnownSignals,
--- a/chestnutfall/tests/fakes/fake_links.py
+++ b/chestnutfall/tests/fakes/fake_links.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ...clock import Clock
-from ...membership import SiteAgent
+from ...membership import GatewayAgent
 from ...ownership import (
     EngineOwners,
     EngineView,
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        agent: SiteAgent,
+        agent: GatewayAgent,
         desk: EngineOwners,
         clock: Clock,
         others: Callable[[], dict[str, FakeGateway]],
--- a/chestnutfall/tests/fakes/fake_office.py
+++ b/chestnutfall/tests/fakes/fake_office.py
@@ -14,7 +14,7 @@
 from ...config.layered_config import BASE_LAYER
 from ...config.typed_config import key_hash
 from ...limits.known_limits import KnownLimits
-from ...membership import Announcement, SiteAgent, UpstreamRegistry
+from ...membership import Announcement, GatewayAgent, UpstreamRegistry
 from ...observability.metrics import Metrics
 from ...ownership import EngineOwners
 from ...ownership.load_permits import ControllerPermits
@@ -44,7 +44,7 @@
         self.metrics = Metrics(None, "gateway")
         self.client = FakeControlClient(office.control, self.clock)
         self.registry = UpstreamRegistry(self.clock)
-        self.agent = SiteAgent(
+        self.agent = GatewayAgent(
             self.session, "127.0.0.1:1", SITE, self.client, self.registry, self.clock, 6000
         )
         permits = ControllerPermits(self.client, self.session, self.clock)
@@ -216,7 +216,7 @@
                 )
                 for gateway in self.gateways.values():
                     if gateway.alive:
-                        gateway.registry.hear(announcement)
+                        gateway.registry.register(announcement)
             await self.clock.sleep_ms(ANNOUNCE_MS)
 
     async def finish(self, work: Coroutine[Any, Any, Any], within_ms: int = 20_000) -> Any:
--- a/chestnutfall/tests/test_configuration_in_force.py
+++ b/chestnutfall/tests/test_configuration_in_force.py
@@ -89,21 +89,21 @@
         gateway = self.office.gateway(0)
         gateway.client.cut = True
         await self.office.clock.advance(2500)
-        self.assertTrue(gateway.agent.in_force())
+        self.assertTrue(gateway.agent.is_config_confirmed())
         await self.office.clock.advance(4000)
-        self.assertFalse(gateway.agent.in_force())
+        self.assertFalse(gateway.agent.is_config_confirmed())
         gateway.client.cut = False
         await self.office.clock.advance(2500)
-        self.assertTrue(gateway.agent.in_force())
+        self.assertTrue(gateway.agent.is_config_confirmed())
 
     async def test_gateway_serves_nothing_before_its_first_confirmation(self) -> None:
         gateway = self.office.add_gateway("entry-new")
         gateway.client.cut = True
         await self.office.clock.advance(5000)
-        self.assertFalse(gateway.agent.in_force())
+        self.assertFalse(gateway.agent.is_config_confirmed())
         gateway.client.cut = False
         await self.office.clock.advance(3000)
-        self.assertTrue(gateway.agent.in_force())
+        self.assertTrue(gateway.agent.is_config_confirmed())
 
     async def test_older_revision_is_never_applied(self) -> None:
         # A controller that lost data or lags behind answers with an older revision.
@@ -113,7 +113,7 @@
         layers = json.dumps({BASE_LAYER: {"callers": {"ana": {"adapters": ["*"]}}}})
         full = ConfigFull(1, layers)
         old_reply = HeartbeatReply(1500, 1, "", (), full, "0.1", (), (), ())
-        agent._take_reply(old_reply, self.office.clock.now_ms())
+        agent._apply_reply(old_reply, self.office.clock.now_ms())
         self.assertEqual(agent.revision, 2)
         self.assertFalse(agent.config.callers["ana"].may_use_adapter("a2"))
 
@@ -123,7 +123,7 @@
         agent._merged.update(type(agent._layers)(layers), [("callers", "ana")])
         await self.office.clock.advance(1000)
         self.assertEqual(agent._merged.digest, self.office.control.state.sites[SITE].digest)
-        self.assertTrue(agent.in_force())
+        self.assertTrue(agent.is_config_confirmed())
 
     async def test_gaps_and_doubles_of_deltas_do_no_harm(self) -> None:
         gateway = self.office.gateway(0)
@@ -137,4 +137,4 @@
         await self.office.clock.advance(2500)
         self.assertEqual(gateway.agent.revision, 6)
         self.assertTrue(gateway.agent.config.callers["ana"].may_use_adapter("a5"))
-        self.assertTrue(gateway.agent.in_force())
+        self.assertTrue(gateway.agent.is_config_confirmed())
--- a/chestnutfall/tests/test_ownership.py
+++ b/chestnutfall/tests/test_ownership.py
@@ -87,7 +87,7 @@
                 acting = [
                     gateway.session
                     for gateway in self.office.gateways.values()
-                    if gateway.agent.may_act_for(engine) is not None
+                    if gateway.agent.ownership_epoch(engine) is not None
                 ]
                 self.assertLessEqual(len(acting), 1, engine)
 
--- a/chestnutfall/tests/test_plain_proxy.py
+++ b/chestnutfall/tests/test_plain_proxy.py
@@ -87,7 +87,7 @@
 
     def _announce(self) -> None:
         for announced in self.announced:
-            self.gateway.registry.hear(announced)
+            self.gateway.registry.register(announced)
 
     async def _pass_ms(self, ms: int) -> None:
         await self.office.clock.advance(ms)
@@ -249,8 +249,8 @@
     # Guards against a word that is taken back by an announcement made before it.
     async def test_an_upstream_that_announced_that_it_leaves_leaves_for_good(self) -> None:
         first = self.announced[0]
-        self.gateway.registry.hear(replace(first, state="leaving"))
-        self.gateway.registry.hear(first)
+        self.gateway.registry.register(replace(first, state="leaving"))
+        self.gateway.registry.register(first)
         self.assertFalse(self.gateway.registry.takes_work(first.name))
-        self.gateway.registry.hear(replace(first, incarnation="second"))
+        self.gateway.registry.register(replace(first, incarnation="second"))
         self.assertTrue(self.gateway.registry.takes_work(first.name))
--- a/properties/safeguards/caller_mutants.py
+++ b/properties/safeguards/caller_mutants.py
@@ -8,7 +8,7 @@
 _LOADER = "chestnutfall/ownership/adapter_loader.py"
 _DISPATCHER = "chestnutfall/routing/dispatcher.py"
 _CHECKS = "chestnutfall/engine_edge/answer_gate.py"
-_AGENT = "chestnutfall/membership/site_agent.py"
+_AGENT = "chestnutfall/membership/gateway_agent.py"
 _UPSTREAM = "chestnutfall/membership/upstream.py"
 _CLAIMS = "chestnutfall/routing/claim_client.py"
 _FAULTS_TEST = "chestnutfall.tests.test_request_faults"
@@ -16,7 +16,7 @@
 _CONFIG_TEST = "chestnutfall.tests.test_configuration_in_force"
 _ONCE_TEST = "chestnutfall.tests.test_at_most_once"
 _LEASE = "        if self.leaving or self._clock.now_ms() >= self._lease_until_ms:"
-_SERVING_STATE = '        return heard and self.announcement.state == "serving"'
+_SERVING_STATE = '        return is_current and self.announcement.state == "serving"'
 
 CALLER_MUTANTS = (
     Mutant(
@@ -72,7 +72,7 @@
         "leaving engine gets work",
         _UPSTREAM,
         _SERVING_STATE,
-        "        return heard",
+        "        return is_current",
         _OWNERSHIP_TEST,
     ),
     Mutant(
--- a/properties/test_serving.py
+++ b/properties/test_serving.py
@@ -55,7 +55,7 @@
 
     async def _ask(self, at: int, name: str, count: int) -> None:
         gateway = self.office.gateway(at)
-        if not gateway.alive or not gateway.agent.in_force() or self._is_frozen(at):
+        if not gateway.alive or not gateway.agent.is_config_confirmed() or self._is_frozen(at):
             return
         for _ in range(count):
             req = gateway.request(f"{name}@1")
@@ -145,7 +145,7 @@
                 gateway.session
                 for gateway in self.office.gateways.values()
                 if gateway.alive
-                and gateway.agent.may_act_for(name) is not None
+                and gateway.agent.ownership_epoch(name) is not None
                 and gateway.clock._running.is_set()
             ]
             assert len(acting) <= 1, f"{acting} act for {name} at the same time"
