--- a/benchmarks/message_slopes.py
+++ b/benchmarks/message_slopes.py
@@ -125,7 +125,7 @@
     await server.start()
     link = PeerLink("entry-1#abcdef012345", f"127.0.0.1:{server.port}", SystemClock(), None)
     task = asyncio.ensure_future(link.run())
-    while link._out is None:
+    while link._outgoing is None:
         await asyncio.sleep(0.01)
     yield link
     task.cancel()
@@ -141,7 +141,7 @@
             for number in range(count):
                 attempt_id = f"{number:032x}-1"
                 await link.acquire(TicketRequest(attempt_id, "engine-1", adapter, 1, 1000))
-                link.end(TicketEnd(attempt_id))
+                link.release_ticket(TicketEnd(attempt_id))
 
         return await _cost(work)
 
--- a/chestnutfall/peers/__init__.py
+++ b/chestnutfall/peers/__init__.py
@@ -1,4 +1,8 @@
-"""Streams between gateways: tickets one way, views of engines the other."""
+"""Streams between gateways.
+
+On a stream a gateway asks for tickets of the engines that the other gateway owns, and receives
+the owner's views of these engines.
+"""
 
 from __future__ import annotations
 
--- a/chestnutfall/peers/peer_link.py
+++ b/chestnutfall/peers/peer_link.py
@@ -1,4 +1,4 @@
-"""The entry's side of a stream to one owner."""
+"""The client side of a stream to another gateway."""
 
 from __future__ import annotations
 
@@ -24,10 +24,19 @@
 
 log = logging.getLogger(__name__)
 RECONNECT_MS = 200
+"""Pause before a new stream; also how long past its own wait a ticket request is kept open."""
 
 
 class PeerLink:
-    """Keeps one stream open and matches answers to requests."""
+    """Keeps a stream to one gateway open, and matches answers on it to ticket requests.
+
+    Attributes
+    ----------
+    address : str
+        IP and port of the other gateway.
+    views : dict of str to EngineView
+        Newest view of each engine that the other gateway owns; empty without a stream.
+    """
 
     def __init__(self, own_session: str, address: str, clock: Clock, tls: TlsFiles | None) -> None:
         self.address = address
@@ -35,32 +44,32 @@
         self._own_session = own_session
         self._clock = clock
         self._channel = RpcChannel(address, TICKET_CODEC, tls)
-        self._out: asyncio.Queue[Any] | None = None
-        self._waiting: dict[str, asyncio.Future[TicketGrant | TicketRefusal]] = {}
+        self._outgoing: asyncio.Queue[Any] | None = None
+        self._pending: dict[str, asyncio.Future[TicketGrant | TicketRefusal]] = {}
 
     async def run(self) -> None:
-        """Connect again and again."""
+        """Open a stream, and a new one whenever it ends, until cancelled."""
         try:
             while True:
                 try:
-                    await self._one_stream()
+                    await self._run_stream()
                 except grpc.aio.AioRpcError as exc:
                     log.info("peers: stream to %s ended: %s", self.address, exc.code().name)
                 finally:
-                    self._lost()
+                    self._on_disconnect()
                 await self._clock.sleep_ms(RECONNECT_MS)
         finally:
             await self._channel.close()
 
-    async def _one_stream(self) -> None:
+    async def _run_stream(self) -> None:
         call = self._channel.stream(METHOD)
         out: asyncio.Queue[Any] = asyncio.Queue()
         writer = asyncio.ensure_future(self._write(call, out))
         try:
             await call.write(Hello(self._own_session))
-            self._out = out
+            self._outgoing = out
             while (msg := await call.read()) is not grpc.aio.EOF:
-                self._take(msg)
+                self._handle_message(msg)
         finally:
             writer.cancel()
             call.cancel()
@@ -69,53 +78,58 @@
         while True:
             await call.write(await out.get())
 
-    def _take(self, msg: Any) -> None:
+    def _handle_message(self, msg: Any) -> None:
         match msg:
             case EngineView():
                 self.views[msg.engine] = msg
             case TicketGrant() | TicketRefusal():
-                fut = self._waiting.pop(msg.attempt_id, None)
+                fut = self._pending.pop(msg.attempt_id, None)
                 if fut is not None and not fut.done():
                     fut.set_result(msg)
                 elif isinstance(msg, TicketGrant):
-                    self.end(TicketEnd(msg.attempt_id))
+                    self.release_ticket(TicketEnd(msg.attempt_id))
 
-    def _lost(self) -> None:
-        self._out = None
+    def _on_disconnect(self) -> None:
+        self._outgoing = None
         self.views.clear()
-        waiting, self._waiting = self._waiting, {}
-        for attempt_id, fut in waiting.items():
+        pending, self._pending = self._pending, {}
+        for attempt_id, fut in pending.items():
             if not fut.done():
                 fut.set_result(TicketRefusal(attempt_id, "owner_unreachable", 0))
 
     async def acquire(self, req: TicketRequest) -> TicketGrant | TicketRefusal:
-        """Ask the owner for a ticket."""
-        if self._out is None:
+        """Ask the owner for a ticket and return its answer.
+
+        Without an answer the result is a refusal with the code "owner_unreachable" when there is
+        no stream or it breaks, and "owner_silent" when the wait is over. A request that is given
+        up or cancelled releases its ticket, since the owner may have granted it meanwhile.
+        """
+        if self._outgoing is None:
             return TicketRefusal(req.attempt_id, "owner_unreachable", 0)
         fut: asyncio.Future[TicketGrant | TicketRefusal] = (
             asyncio.get_running_loop().create_future()
         )
-        self._waiting[req.attempt_id] = fut
-        self._out.put_nowait(req)
+        self._pending[req.attempt_id] = fut
+        self._outgoing.put_nowait(req)
         try:
             return await self._clock.within_ms(req.wait_ms + RECONNECT_MS, _wait(fut))
         except TimeoutError:
-            self.end(TicketEnd(req.attempt_id))
+            self.release_ticket(TicketEnd(req.attempt_id))
             return TicketRefusal(req.attempt_id, "owner_silent", 0)
         except asyncio.CancelledError:
-            self.end(TicketEnd(req.attempt_id))
+            self.release_ticket(TicketEnd(req.attempt_id))
             raise
         finally:
-            self._waiting.pop(req.attempt_id, None)
+            self._pending.pop(req.attempt_id, None)
 
-    def end(self, msg: TicketEnd) -> None:
-        """Give a ticket back; if the stream is down the owner finds out from the engine."""
-        self.tell(msg)
+    def release_ticket(self, msg: TicketEnd) -> None:
+        """Release a ticket; without a stream the owner learns of the end from the engine."""
+        self.send(msg)
 
-    def tell(self, msg: OwnerNotification) -> None:
-        """Tell the owner something, if the stream is up."""
-        if self._out is not None:
-            self._out.put_nowait(msg)
+    def send(self, msg: OwnerNotification) -> None:
+        """Send `msg` to the owner; without a stream it is dropped."""
+        if self._outgoing is not None:
+            self._outgoing.put_nowait(msg)
 
 
 async def _wait(
--- a/chestnutfall/peers/peer_links.py
+++ b/chestnutfall/peers/peer_links.py
@@ -1,4 +1,4 @@
-"""Links to all other gateways, and the short way to our own engines."""
+"""Links to all other gateways, and local calls for the engines that this gateway owns."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class PeerLinks:
-    """Asks whichever gateway owns an engine."""
+    """Sends requests and reports to the owner of an engine, be it this gateway or another."""
 
     def __init__(
         self, agent: GatewayAgent, desk: EngineOwners, clock: Clock, tls: TlsFiles | None
@@ -37,8 +37,8 @@
         self._tls = tls
         self._links: dict[str, tuple[PeerLink, asyncio.Task[None]]] = {}
 
-    def match_gateways(self) -> None:
-        """Open and close links so that there is one to each other live gateway."""
+    def update_links(self) -> None:
+        """Open and close links so that there is exactly one to each other live gateway."""
         wanted = {
             session: gateway.address
             for session, gateway in self._agent.gateways.items()
@@ -54,7 +54,11 @@
                 self._links[session] = (link, asyncio.ensure_future(link.run()))
 
     async def acquire(self, req: TicketRequest) -> TicketGrant | TicketRefusal:
-        """Ask the owner of `req.engine` for a ticket."""
+        """Ask the owner of `req.engine` for a ticket and return its answer.
+
+        Refused with the code "no_owner" when the engine has none, and with "owner_unreachable"
+        without a link to it.
+        """
         owner = self._agent.owners.get(req.engine)
         if owner is None:
             return TicketRefusal(req.attempt_id, "no_owner", 0)
@@ -68,41 +72,41 @@
     async def _acquire_here(self, req: TicketRequest) -> TicketGrant | TicketRefusal:
         return await self._desk.acquire(req, self._agent.session)
 
-    def end(self, engine: str, attempt_id: str) -> None:
-        """Give a ticket back to the engine's owner."""
+    def release_ticket(self, engine: str, attempt_id: str) -> None:
+        """Release a ticket at the engine's owner."""
         if engine not in self._agent.owners:
             self._desk.end(TicketEnd(attempt_id))
-        self._tell(engine, TicketEnd(attempt_id))
+        self._send_to_owner(engine, TicketEnd(attempt_id))
 
-    def hear_limit(self, engine: str, heard: HeardLimit) -> None:
-        """Tell the engine's owner what an answer said of its limit."""
-        self._tell(engine, EngineLimit(engine, heard))
+    def report_limit(self, engine: str, heard: HeardLimit) -> None:
+        """Report to the engine's owner the request limit that an answer of the engine named."""
+        self._send_to_owner(engine, EngineLimit(engine, heard))
 
-    def hear_backoff(self, engine: str, heard: HeardBackoff) -> None:
-        """Tell the engine's owner what an answer asked of this gateway."""
-        self._tell(engine, EngineBackoff(engine, heard))
+    def report_backoff(self, engine: str, heard: HeardBackoff) -> None:
+        """Report to the engine's owner the backoff that an answer of the engine asked for."""
+        self._send_to_owner(engine, EngineBackoff(engine, heard))
 
-    def note_resume(self, engine: str) -> None:
-        """Tell the engine's owner that it was asked for the rest of a run."""
-        self._tell(engine, ResumeSent(engine))
+    def report_resume(self, engine: str) -> None:
+        """Report to the engine's owner that this gateway asked the engine to resume a run."""
+        self._send_to_owner(engine, ResumeSent(engine))
 
-    def _tell(self, engine: str, msg: OwnerNotification) -> None:
+    def _send_to_owner(self, engine: str, msg: OwnerNotification) -> None:
         owner = self._agent.owners.get(engine)
         if owner is None:
             return
         if owner.owner == self._agent.session:
             self._desk.handle(msg)
         elif owner.owner in self._links:
-            self._links[owner.owner][0].tell(msg)
+            self._links[owner.owner][0].send(msg)
 
     def views(self) -> Iterator[EngineView]:
-        """Yield the newest view of every engine that has a reachable owner."""
+        """Yield the newest view of every engine whose owner is reachable."""
         yield from self._desk.views()
         for link, _ in self._links.values():
             yield from link.views.values()
 
     async def close(self) -> None:
-        """Close every link."""
+        """Cancel the tasks of all links and wait for their end."""
         for _, task in self._links.values():
             task.cancel()
         await asyncio.gather(*(task for _, task in self._links.values()), return_exceptions=True)
--- a/chestnutfall/peers/peer_server.py
+++ b/chestnutfall/peers/peer_server.py
@@ -1,4 +1,4 @@
-"""The owner's side of a stream."""
+"""The server side of the streams between gateways."""
 
 from __future__ import annotations
 
@@ -19,11 +19,16 @@
 )
 
 METHOD = "Tickets"
-PUBLISH_MS = 50
+PUBLISH_INTERVAL_MS = 50
+"""Least time between two rounds of changed views on one stream."""
 
 
 class PeerServer:
-    """Answers each entry gateway's stream by one task, and knows which are connected."""
+    """Serves the streams of other gateways and tracks which of them are connected.
+
+    On each stream it answers ticket requests, passes reports on to the desk and publishes the
+    views of the engines that this gateway owns.
+    """
 
     def __init__(self, desk: EngineOwners, clock: Clock) -> None:
         self._desk = desk
@@ -31,11 +36,11 @@
         self._connected: dict[str, int] = {}
 
     def is_connected(self, session: str) -> bool:
-        """Whether a gateway has a stream to us now."""
+        """Whether the gateway with this session has a stream to this one now."""
         return self._connected.get(session, 0) > 0
 
     async def serve(self, messages: AsyncIterator[Any], context: Any) -> AsyncIterator[Any]:
-        """Answer one stream."""
+        """Serve one stream until it ends; a stream that does not begin with `Hello` is closed."""
         hello = await anext(messages)
         if not isinstance(hello, Hello):
             return
@@ -68,7 +73,8 @@
                     case TicketEnd() | EngineLimit() | EngineBackoff() | ResumeSent():
                         self._desk.handle(msg)
         finally:
-            # The stream is gone, so a ticket granted now would reach nobody and pin for nothing.
+            # The stream has ended. A ticket granted now could not be delivered but would pin an
+            # adapter, so the requests in progress are cancelled.
             for task in waiting:
                 task.cancel()
             out.put_nowait(None)
@@ -85,7 +91,7 @@
                     if sent.get(engine) != view:
                         out.put_nowait(view)
                 sent = views
-                # Changes within one interval go out together.
-                await self._clock.sleep_ms(PUBLISH_MS)
+                # Changes within one interval are sent together.
+                await self._clock.sleep_ms(PUBLISH_INTERVAL_MS)
                 await changed.wait()
                 changed.clear()
--- a/chestnutfall/programs/gateway.py
+++ b/chestnutfall/programs/gateway.py
@@ -142,17 +142,17 @@
         self._agent.on_change = self._on_change
 
     def _tell_limit(self, heard: HeardLimit) -> None:
-        self._links.hear_limit(heard.instance.partition("/")[0], heard)
+        self._links.report_limit(heard.instance.partition("/")[0], heard)
 
     def _tell_backoff(self, heard: HeardBackoff) -> None:
-        self._links.hear_backoff(heard.instance.partition("/")[0], heard)
+        self._links.report_backoff(heard.instance.partition("/")[0], heard)
 
     def _gateways(self) -> int:
         return len(self._agent.gateways)
 
     def _on_change(self) -> None:
         self._desk.reconcile_ownership()
-        self._links.match_gateways()
+        self._links.update_links()
 
     def _is_gone(self, session: str) -> bool:
         """Whether a gateway has neither a session with the controllers nor a stream to us."""
--- a/chestnutfall/routing/dispatcher.py
+++ b/chestnutfall/routing/dispatcher.py
@@ -159,7 +159,7 @@
             raise
         finally:
             span.end()
-            self._links.end(engine.name, attempt_id)
+            self._links.release_ticket(engine.name, attempt_id)
 
     async def _acquire_engine(self, req: CallerRequest, attempt_id: str) -> Upstream:
         """Return an engine whose owner granted a ticket and that is not backing off."""
@@ -167,7 +167,7 @@
         while not self._signals.may_send(engine.instance):
             # The engine started to back off while the ticket was awaited. Nothing was sent, so
             # another ticket costs no repeat.
-            self._links.end(engine.name, attempt_id)
+            self._links.release_ticket(engine.name, attempt_id)
             engine = await self._tickets.acquire(req, attempt_id)
         return engine
 
@@ -212,7 +212,7 @@
                         self._raise_broken(exc)
                     self._metrics.count("resumes")
                     await self._clock.sleep_ms(self._resume_wait_ms(engine, req, resumes))
-                    self._links.note_resume(engine.name)
+                    self._links.report_resume(engine.name)
                     batches = self._api.resume(engine.address, req, gate.seen)
         finally:
             if gate.dropped:
--- a/chestnutfall/tests/fakes/fake_links.py
+++ b/chestnutfall/tests/fakes/fake_links.py
@@ -1,4 +1,4 @@
-"""Links between gateways that can be cut."""
+"""Links between simulated gateways that can be cut."""
 
 from __future__ import annotations
 
@@ -22,7 +22,13 @@
 
 
 class FakeLinks(PeerLinks):
-    """Reaches other gateways' desks directly."""
+    """Calls the owner desks of other gateways directly, without streams.
+
+    Attributes
+    ----------
+    cut : bool
+        Whether this gateway is cut off from all others; set by tests.
+    """
 
     def __init__(
         self,
@@ -44,8 +50,8 @@
         gone = here_gone or other is None or other.links.cut or not other.alive
         return None if gone else other.desk  # type: ignore[union-attr]
 
-    def match_gateways(self) -> None:
-        """Nothing to open."""
+    def update_links(self) -> None:
+        """Do nothing: there are no streams."""
 
     async def acquire(self, req: TicketRequest) -> TicketGrant | TicketRefusal:
         owner = self._agent.owners.get(req.engine)
@@ -54,7 +60,7 @@
             return TicketRefusal(req.attempt_id, "owner_unreachable", 0)
         return await desk.acquire(req, self._agent.session)
 
-    def _tell(self, engine: str, msg: OwnerNotification) -> None:
+    def _send_to_owner(self, engine: str, msg: OwnerNotification) -> None:
         owner = self._agent.owners.get(engine)
         desk = self._desk_of(owner.owner) if owner else None
         if desk is not None:
--- a/chestnutfall/tests/test_backoff_completions.py
+++ b/chestnutfall/tests/test_backoff_completions.py
@@ -111,7 +111,7 @@
             return await acquire(req)
 
         gateway.links.acquire = counted  # type: ignore[method-assign, assignment]
-        gateway.links.hear_backoff = lambda engine, heard: None  # type: ignore[method-assign]
+        gateway.links.report_backoff = lambda engine, heard: None  # type: ignore[method-assign]
         leaving = next(iter(gateway.registry.serving()))
         signals = UpstreamSignals(leaving=True)
         gateway.signals.observe(leaving.instance, signals, 0, succeeded=True)
--- a/chestnutfall/tests/test_peer_link.py
+++ b/chestnutfall/tests/test_peer_link.py
@@ -1,7 +1,7 @@
 """The stream between an entry gateway and an owner, over a real connection.
 
-An entry waits for ever for a ticket, or a ticket pins an adapter that nobody will use. The owner is
-silent, the stream breaks, or a grant comes when its request was given up.
+When the owner is silent, the stream breaks, or a grant arrives after its request was given up, the
+entry gateway must not wait for ever, and no unused ticket may keep an adapter pinned.
 """
 
 from __future__ import annotations
--- a/properties/safeguards/limit_mutants.py
+++ b/properties/safeguards/limit_mutants.py
@@ -132,7 +132,7 @@
     Mutant(
         "runs that are resumed come on top of the limit",
         "chestnutfall/routing/dispatcher.py",
-        "                    self._links.note_resume(engine.name)\n",
+        "                    self._links.report_resume(engine.name)\n",
         "",
         _COMPLETIONS,
     ),
