--- a/chestnutfall/coordination/controller_runner.py
+++ b/chestnutfall/coordination/controller_runner.py
@@ -106,7 +106,7 @@
         self._metrics.gauge("commit_index", self._replica.commit_index)
         self._metrics.gauge("members", len(self._replica.members))
         for codec in (FLEET_CODEC, RELAY_CODEC, CONSENSUS_CODEC):
-            for figure, value in codec.traffic.figures():
+            for figure, value in codec.traffic.counters():
                 self._metrics.total(figure, value)
 
     async def run(self, stop: asyncio.Event) -> None:
--- a/chestnutfall/forwarding/fleet_client.py
+++ b/chestnutfall/forwarding/fleet_client.py
@@ -244,7 +244,7 @@
         # Each stream gets a new connection, since a middlebox may have dropped an idle one.
         channel = RpcChannel(address, FLEET_CODEC)
         try:
-            await self._clock.within_ms(CONNECT_MS, channel.connected())
+            await self._clock.within_ms(CONNECT_MS, channel.wait_connected())
             return await self._serve_stream(address, channel.stream(FLEET_METHOD))
         except (grpc.aio.AioRpcError, asyncio.InvalidStateError, TimeoutError) as exc:
             log.info("leader: address=%s stream ended: %s", address, _describe(exc))
--- a/chestnutfall/platform/gateway.py
+++ b/chestnutfall/platform/gateway.py
@@ -97,7 +97,7 @@
         metrics.gauge("connected", fleet.connected)
         metrics.gauge("limited_upstreams", len(upstream_limits))
         metrics.gauge("upstreams_backing_off", len(backoffs))
-        for figure, value in FLEET_CODEC.traffic.figures():
+        for figure, value in FLEET_CODEC.traffic.counters():
             metrics.total(figure, value)
 
     watch = SettingsWatch(settings, clock, lambda new: fleet.use_controllers(new.controllers))
--- a/chestnutfall/tests/process_office.py
+++ b/chestnutfall/tests/process_office.py
@@ -24,7 +24,7 @@
 from ..control.control_client import ControlClient
 from ..operators import OperatorSession
 from ..wire import TlsFiles
-from ..wire.authority import Authority
+from ..wire.certificate_authority import CertificateAuthority
 
 SITE = "nodo-centro"
 KEYS = {"admin": "admin key", "caller": "caller key", "engines": "engine key", "plain": "plain key"}
@@ -70,7 +70,7 @@
     ) -> None:
         self._temporary = TemporaryDirectory()
         self.folder = Path(self._temporary.name)
-        self._authority = Authority("office") if tls else None
+        self._authority = CertificateAuthority("office") if tls else None
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.controllers = [free_address() for _ in range(controllers)]
         self.gateways = [free_address() for _ in range(gateways)]
--- a/chestnutfall/tests/test_dissemination.py
+++ b/chestnutfall/tests/test_dissemination.py
@@ -1,8 +1,8 @@
-"""How every gateway learns which upstreams serve, where there are thousands of both.
+"""Dissemination of the serving upstreams to all gateways, with thousands of both.
 
-An engine in one district is replaced, and callers everywhere wait: each gateway is sent all engines
-again, its link is full for half a second, the leader's pulse comes late, and the gateway leaves a
-leader that is well, to be sent everything once more.
+If each change sent all upstreams again, it would fill a gateway's link for half a second. The
+leader's pulse would arrive late, and the gateway would leave a healthy leader only to be sent
+everything once more.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from ..forwarding.known_upstreams import KnownUpstreams
 
 LINK_BYTES_PER_MS = 625
-"""5 Mbit/s."""
+"""Bandwidth of a gateway's link: 5 Mbit/s."""
 SILENT_MS = 450
-"""After this long without a word a gateway leaves its leader."""
+"""Time without any message from its leader after which a gateway looks for another one."""
 
 
 def _record(number: int, leaving: bool = False) -> UpstreamRecord:
@@ -54,7 +54,7 @@
             list(views.change_to(_record(number) for number in range(start + 30)))
         whole = [FLEET_CODEC.encode(part) for part in views.whole()]
         self.assertLess(sum(map(len, whole)) / LINK_BYTES_PER_MS, SILENT_MS)
-        # A pulse that has to wait for one of them still comes in time for its half.
+        # A pulse queued behind one part is delayed by less than an eighth of the timeout.
         self.assertLess(max(map(len, whole)) / LINK_BYTES_PER_MS, SILENT_MS / 8)
 
     STEPS = st.lists(
@@ -94,8 +94,9 @@
         self.assertGreater(len(parts), 1)
 
     def test_a_gateway_that_is_told_all_knows_nearly_all(self) -> None:
-        # The first upstreams of a new leader come at once. Told behind an empty view, gateways
-        # begin to serve and refuse calls of plain services, which they don't know of yet.
+        # A new leader learns thousands of upstreams at once. If it sent them as changes after an
+        # empty complete view, gateways would start to serve too early and refuse calls to
+        # services whose upstreams they don't know yet.
         views, known = UpstreamViews(), KnownUpstreams()
         list(views.change_to(_record(number) for number in range(3_000)))
         for part in views.whole():
--- a/chestnutfall/tests/test_wire.py
+++ b/chestnutfall/tests/test_wire.py
@@ -1,6 +1,7 @@
-"""Messages and connections between our own processes.
+"""Messages and connections between the system's own processes.
 
-A stranger, or a process of another office, takes part; or a damaged message is half understood.
+Damaged messages must be refused, and so must processes without a certificate of this deployment's
+authority.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from ..control.messages import CONTROL_CODEC
 from ..ownership import TICKET_CODEC
 from ..wire import Codec, RpcChannel, RpcServer, TlsFiles
-from ..wire.authority import Authority
+from ..wire.certificate_authority import CertificateAuthority
 
 
 class CodecTest(unittest.TestCase):
@@ -45,8 +46,8 @@
     async def asyncSetUp(self) -> None:
         self.temporary = TemporaryDirectory()
         self.folder = Path(self.temporary.name)
-        self.office = Authority("office")
-        self.files = self.office.issue(self.folder, "server")
+        self.authority = CertificateAuthority("office")
+        self.files = self.authority.issue(self.folder, "server")
         self.server = RpcServer("127.0.0.1:0", self.files)
         self.server.add_unary("Echo", CONSENSUS_CODEC, _echo)
         await self.server.start()
@@ -63,17 +64,17 @@
             await channel.close()
 
     async def test_only_processes_of_this_office_are_answered(self) -> None:
-        client = self.office.issue(self.folder, "client")
+        client = self.authority.issue(self.folder, "client")
         self.assertEqual(await self._call(client), VoteReply(1, True))
-        stranger = Authority("elsewhere").issue(self.folder, "stranger")
+        stranger = CertificateAuthority("elsewhere").issue(self.folder, "stranger")
         mixed = TlsFiles(stranger.key_file, stranger.cert_file, client.ca_file)
         for files in (None, stranger, mixed):
             with self.subTest(files=files), self.assertRaises(ConnectionError):
                 await self._call(files)
 
     async def test_renewed_files_are_used_without_a_restart(self) -> None:
-        # The authority is replaced; a client that trusts only the new one must get an answer.
-        renewed = Authority("renewed")
+        # The authority is replaced. A client that trusts only the new one must get an answer.
+        renewed = CertificateAuthority("renewed")
         renewed.issue(self.folder, "server")
         client = renewed.issue(self.folder, "client")
         self.assertEqual(await self._call(client), VoteReply(1, True))
--- a/chestnutfall/wire/__init__.py
+++ b/chestnutfall/wire/__init__.py
@@ -1,4 +1,4 @@
-"""How the system's own processes talk: msgpack messages over gRPC."""
+"""Communication between the system's own processes: msgpack messages over gRPC."""
 
 from __future__ import annotations
 
--- a/chestnutfall/wire/authority.py
+++ b/chestnutfall/wire/certificate_authority.py
@@ -1,4 +1,4 @@
-"""A small certificate authority, for demonstrations and tests."""
+"""A minimal certificate authority for demonstrations and tests."""
 
 from __future__ import annotations
 
@@ -13,18 +13,23 @@
 from .tls_files import TlsFiles
 
 SERVER_NAME = "chestnutfall"
+"""DNS name in every certificate, which clients check instead of the host's IP address."""
 VALID_DAYS = 30
 
 
-class Authority:
-    """Signs certificates that every process of one office accepts."""
+class CertificateAuthority:
+    """Signs the certificates of all processes of one deployment, which accept only these."""
 
     def __init__(self, name: str) -> None:
         self._key = ec.generate_private_key(ec.SECP256R1())
         self._cert = _certificate(name, self._key, None)
 
     def issue(self, folder: Path, name: str) -> TlsFiles:
-        """Write key, certificate and authority for the process `name`."""
+        """Create a key and certificate for the process `name` and write them to `folder`.
+
+        Existing files of the same process are overwritten. The certificate of this authority is
+        written with them, as the one that signs every peer.
+        """
         key = ec.generate_private_key(ec.SECP256R1())
         cert = _certificate(name, key, (self._cert, self._key))
         files = TlsFiles(*(str(folder / f"{name}.{kind}") for kind in ("key", "crt", "ca")))
--- a/chestnutfall/wire/codec.py
+++ b/chestnutfall/wire/codec.py
@@ -1,4 +1,4 @@
-"""Tagged unions of frozen data classes as msgpack."""
+"""Encoding of tagged unions of frozen data classes as msgpack."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class Codec:
-    """Encode and decode any message of one closed union.
+    """Encodes and decodes the messages of one closed union.
 
-    A message is `[name, fields]`; a name or field type outside the union is refused, so that
-    a peer of another version fails loudly instead of being half understood.
+    A message is encoded as `[class name, fields]`. An unknown class name or a wrong field type is
+    an error, so a peer of an incompatible version fails instead of being misinterpreted.
 
     Attributes
     ----------
     traffic : Traffic
-        What it encoded and decoded, by type.
+        Counts the messages encoded and decoded, by class name.
     """
 
     def __init__(self, *types: type) -> None:
@@ -31,23 +31,23 @@
         self._envelope = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
 
     def encode(self, msg: Any) -> bytes:
-        """Return the bytes of `msg`."""
-        # The same message often goes to many peers in a row. Messages are frozen, so the bytes of
-        # the last one still hold: a view of 32 upstreams for 90 gateways is encoded once.
+        """Return `msg` encoded, and count it as sent."""
+        # The same message is often sent to many peers in a row: a view of 32 upstreams to 90
+        # gateways, for example. Messages are frozen, so the last encoding can be reused.
         last, encoded = self._last
         if msg is not last:
             encoded = self._encoder.encode((type(msg).__name__, msg))
             self._last = (msg, encoded)
-        self.traffic.note_sent(type(msg).__name__, len(encoded))
+        self.traffic.record_sent(type(msg).__name__, len(encoded))
         return encoded
 
     def decode(self, data: bytes) -> Any:
-        """Return the message in `data`.
+        """Return the message encoded in `data`, and count it as received.
 
         Raises
         ------
         ValueError
-            When the bytes are not a message of this union.
+            When `data` is not a message of this union.
         """
         try:
             name, fields = self._envelope.decode(data)
@@ -56,5 +56,5 @@
             raise ValueError(f"unknown message {exc}; known: {sorted(self._decoders)}") from exc
         except msgspec.MsgspecError as exc:
             raise ValueError(f"not a message of this union: {exc}") from exc
-        self.traffic.note_received(name, len(data))
+        self.traffic.record_received(name, len(data))
         return msg
--- a/chestnutfall/wire/http_listener.py
+++ b/chestnutfall/wire/http_listener.py
@@ -1,4 +1,4 @@
-"""Listening for HTTP on one address."""
+"""Listening for HTTP connections."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 from ..settings.host_port import split_address
 
-USUAL_BACKLOG = 128
-"""aiohttp's own default."""
+DEFAULT_BACKLOG = 128
+"""Default of aiohttp for the queue of connections not yet accepted."""
 
 
 async def listen(
     runner: web.AppRunner | web.ServerRunner,
     address: str,
-    backlog: int = USUAL_BACKLOG,
+    backlog: int = DEFAULT_BACKLOG,
 ) -> None:
-    """Serve `runner` on `address`, an IP and port, until it is cleaned up."""
+    """Serve `runner` on `address`, an IP and port, until the runner is cleaned up."""
     await runner.setup()
     ip, port = split_address(address)
     await web.TCPSite(runner, ip, port, backlog=backlog).start()
--- a/chestnutfall/wire/rpc_channel.py
+++ b/chestnutfall/wire/rpc_channel.py
@@ -1,4 +1,4 @@
-"""A client connection to one of our own processes."""
+"""Client connection to another process of the system."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
 
 
 class RpcChannel:
-    """Unary calls and message streams to `address`, an IP and port."""
+    """Sends unary calls and opens message streams to `address`, an IP and port.
+
+    The connection is opened on first use; with `tls` both sides authenticate themselves.
+    """
 
     def __init__(self, address: str, codec: Codec, tls: TlsFiles | None = None) -> None:
         self.address = address
@@ -39,19 +42,20 @@
         if self._tls is None:
             self._channel = grpc.aio.insecure_channel(target, options=_OPTIONS)
         else:
-            # Certificates name the office, not the IP of each host.
+            # All certificates carry the same DNS name instead of the IP address of a host.
             options = (*_OPTIONS, ("grpc.ssl_target_name_override", "chestnutfall"))
             creds = self._tls.channel_credentials()
             self._channel = grpc.aio.secure_channel(target, creds, options=options)
         self._calls: dict[str, Any] = {}
 
     async def call(self, method: str, msg: Any, timeout_ms: float) -> Any:
-        """Send `msg` and return the answer.
+        """Send `msg` and return the reply.
 
         Raises
         ------
         ConnectionError
-            When there is no answer within `timeout_ms`; the call may or may not have been run.
+            When the call fails or there is no reply within `timeout_ms`; the peer may or may not
+            have executed it.
         """
         if method not in self._calls:
             self._calls[method] = self._channel.unary_unary(
@@ -66,12 +70,12 @@
                 await self._reopen()
             raise ConnectionError(f"{self.address}: {exc.code().name} {exc.details()}") from exc
 
-    async def connected(self) -> None:
-        """Wait until the peer accepted a connection."""
+    async def wait_connected(self) -> None:
+        """Wait until a connection to the peer is established."""
         await self._channel.channel_ready()
 
     def stream(self, method: str) -> Any:
-        """Open a stream of messages in both directions."""
+        """Open a stream of messages in both directions and return its gRPC call."""
         return self._channel.stream_stream(
             f"/chestnutfall/{method}",
             request_serializer=self._codec.encode,
@@ -79,14 +83,15 @@
         )()
 
     async def _reopen(self) -> None:
-        # Something between two hosts can forget a connection: it stays open and silent for good
-        # while new ones work. Symptom: every call times out although the peer is well. A timed
-        # out call costs little, so each of them gets the next call a fresh connection.
+        # A firewall, for example, may drop the state of a connection. The connection then stays
+        # open but silent, and every call on it times out although the peer is reachable. A new
+        # connection costs little compared with a timed-out call, so each timeout opens one for
+        # the next call.
         old = self._channel
         self._open()
         with contextlib.suppress(Exception):
             await old.close(grace=1.0)
 
     async def close(self) -> None:
-        """Close the connection; calls in progress fail."""
+        """Close the connection; calls and streams in progress fail."""
         await self._channel.close()
--- a/chestnutfall/wire/rpc_server.py
+++ b/chestnutfall/wire/rpc_server.py
@@ -1,4 +1,4 @@
-"""The listening side of our own processes."""
+"""Server for calls from other processes of the system."""
 
 from __future__ import annotations
 
@@ -25,7 +25,15 @@
 
 
 class RpcServer:
-    """Serve unary methods and streams on one address."""
+    """Serves unary methods and message streams on one address.
+
+    With `tls` only clients with a certificate of the same authority are accepted.
+
+    Attributes
+    ----------
+    port : int
+        Port that the server is bound to, also when `address` asked for any free port.
+    """
 
     def __init__(self, address: str, tls: TlsFiles | None = None) -> None:
         self._server = grpc.aio.server(
@@ -37,7 +45,7 @@
             self.port = self._server.add_secure_port(address, tls.server_credentials())
 
     def add_unary(self, method: str, codec: Codec, handler: Handler) -> None:
-        """Answer `method` by `handler(msg, context)`."""
+        """Serve the unary `method` with the coroutine `handler(msg, context)`."""
         self._add(
             method,
             grpc.unary_unary_rpc_method_handler(
@@ -46,7 +54,7 @@
         )
 
     def add_stream(self, method: str, codec: Codec, handler: Any) -> None:
-        """Answer `method` by the async generator `handler(messages, context)`."""
+        """Serve the stream `method` with the async generator `handler(messages, context)`."""
         self._add(
             method,
             grpc.stream_stream_rpc_method_handler(
@@ -59,9 +67,9 @@
         self._server.add_generic_rpc_handlers((handlers,))
 
     async def start(self) -> None:
-        """Begin to accept calls."""
+        """Start accepting calls."""
         await self._server.start()
 
     async def stop(self, grace_ms: float = 500) -> None:
-        """Stop accepting, give calls in progress `grace_ms`, then close."""
+        """Stop accepting calls, let those in progress run for `grace_ms`, then cancel them."""
         await self._server.stop(grace_ms / 1000)
--- a/chestnutfall/wire/single_send_session.py
+++ b/chestnutfall/wire/single_send_session.py
@@ -1,4 +1,4 @@
-"""An HTTP client that sends each request once."""
+"""An HTTP client session that sends each request only once."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 
 
 def single_send_session(connector: aiohttp.TCPConnector, **options: Any) -> aiohttp.ClientSession:
-    """Make a session for requests that are passed on.
+    """Return a client session for forwarded requests, without aiohttp's automatic retry.
 
-    By itself aiohttp sends GET, PUT, DELETE and their like once more when their connection breaks.
-    Symptom: an upstream runs one request twice, although its route says once; and when the second
-    send finds a closed port, the request counts as never sent and its caller is told "not run".
-    The repeat is off here, so that whoever knows the route and the budget decides on it. aiohttp
-    has no public switch for it; its own test client uses this one.
+    By default aiohttp resends GET, PUT, DELETE and other idempotent requests once when their
+    connection breaks. An upstream could then run a request twice although its route allows one
+    attempt. If the resend finds a closed port, the request would be reported as never sent, and
+    the caller would be told that it was not run. The retry is switched off, since only the
+    forwarding code knows the route and the retry budget. aiohttp has no public option for this;
+    the private attribute set here is the one that aiohttp's own test client uses.
     """
     session = aiohttp.ClientSession(
         connector=connector, auto_decompress=False, trust_env=False, **options
--- a/chestnutfall/wire/tls_files.py
+++ b/chestnutfall/wire/tls_files.py
@@ -1,4 +1,4 @@
-"""Where a process finds its key, certificate and authority."""
+"""Files of a process's TLS key and certificates."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
     Attributes
     ----------
     key_file, cert_file, ca_file : str
-        Private key, own certificate chain, and the authority that signs every peer.
+        Private key, certificate chain of this process, and certificate of the authority that
+        signs every peer.
     """
 
     key_file: str
@@ -22,7 +23,10 @@
     ca_file: str
 
     def server_credentials(self) -> grpc.ServerCredentials:
-        """Credentials read anew on each handshake, so a renewed file needs no restart."""
+        """Return server credentials that reread the files on each handshake.
+
+        Renewed files are thus used without a restart. Clients must present a certificate.
+        """
         return grpc.dynamic_ssl_server_credentials(
             self._server_configuration(),
             self._server_configuration,
@@ -30,7 +34,7 @@
         )
 
     def channel_credentials(self) -> grpc.ChannelCredentials:
-        """Client credentials from the files as they are now."""
+        """Return client credentials with the present content of the files."""
         key, cert, authority = self._read()
         return grpc.ssl_channel_credentials(authority, key, cert)
 
--- a/chestnutfall/wire/traffic.py
+++ b/chestnutfall/wire/traffic.py
@@ -1,4 +1,4 @@
-"""What went over the wire, by type of message."""
+"""Counters of messages sent and received, by type of message."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """Messages and bytes by type, since the process began."""
+    """Counts messages and encoded bytes by class name of the message, since process start."""
 
     sent: Counter[str] = field(default_factory=Counter)
     sent_bytes: Counter[str] = field(default_factory=Counter)
     received: Counter[str] = field(default_factory=Counter)
     received_bytes: Counter[str] = field(default_factory=Counter)
 
-    def note_sent(self, name: str, size: int) -> None:
-        """Count a message to a peer."""
+    def record_sent(self, name: str, size: int) -> None:
+        """Count a message of `size` bytes sent to a peer."""
         self.sent[name] += 1
         self.sent_bytes[name] += size
 
-    def note_received(self, name: str, size: int) -> None:
-        """Count a message of a peer."""
+    def record_received(self, name: str, size: int) -> None:
+        """Count a message of `size` bytes received from a peer."""
         self.received[name] += 1
         self.received_bytes[name] += size
 
-    def figures(self) -> Iterator[tuple[str, int]]:
-        """Yield the name and value of each counter."""
+    def counters(self) -> Iterator[tuple[str, int]]:
+        """Yield the metric name and the value of each counter."""
         kinds = {
             "messages_sent": self.sent,
             "bytes_sent": self.sent_bytes,
