--- a/chestnutfall/caller_edge/__init__.py
+++ b/chestnutfall/caller_edge/__init__.py
@@ -1,4 +1,4 @@
-"""What callers see: the OpenAI-compatible API, plain services, health."""
+"""HTTP interface for callers: the OpenAI-compatible API, plain services and health checks."""
 
 from __future__ import annotations
 
--- a/chestnutfall/caller_edge/caller_app.py
+++ b/chestnutfall/caller_edge/caller_app.py
@@ -1,4 +1,4 @@
-"""The HTTP application for callers."""
+"""HTTP application that serves callers of a gateway."""
 
 from __future__ import annotations
 
@@ -23,13 +23,26 @@
 
 log = logging.getLogger(__name__)
 MAX_BODY_BYTES = 2 * 1024 * 1024
-BODY_MS = 5000
-_STARTED = web.RequestKey("started", web.StreamResponse)
+BODY_TIMEOUT_MS = 5000
+_STARTED_STREAM = web.RequestKey("started", web.StreamResponse)
 _PROPAGATOR = TraceContextTextMapPropagator()
 
 
 class CallerApp:
-    """Authenticates, admits and answers callers."""
+    """Authenticates callers, admits their requests and answers them.
+
+    Requests under the API paths go to an engine, and every other path to a plain service.
+
+    Attributes
+    ----------
+    ready : bool
+        Whether `/readyz` may answer 200; it also needs a configuration in force. Set to False at
+        the beginning of a graceful stop, so that load balancers send no new connections.
+    refusing : bool
+        Whether new requests are refused with 503; the second step of a graceful stop.
+    in_progress : int
+        Admitted requests that are not answered yet.
+    """
 
     def __init__(
         self,
@@ -55,14 +68,14 @@
         self.in_progress = 0
 
     def build(self) -> web.Application:
-        """The aiohttp application."""
+        """Return the aiohttp application with the routes of all endpoints."""
         app = web.Application(client_max_size=MAX_BODY_BYTES)
         app.router.add_get("/healthz", self._healthz)
         app.router.add_get("/readyz", self._readyz)
         app.router.add_get("/v1/models", self._models)
         app.router.add_post("/v1/chat/completions", self._complete)
         app.router.add_post("/v1/completions", self._complete)
-        app.router.add_route("*", "/{tail:.*}", self._other)
+        app.router.add_route("*", "/{tail:.*}", self._call_plain_service)
         return app
 
     async def _healthz(self, request: web.Request) -> web.Response:
@@ -78,7 +91,7 @@
         try:
             name = self._authenticate(request)
         except Refusal as refusal:
-            return self._refused(refusal, request_id)
+            return self._refusal_response(refusal, request_id)
         cfg = self._agent.config
         caller = cfg.callers[name]
         models = (
@@ -89,14 +102,14 @@
         )
         return web.json_response({"object": "list", "data": list(models)})
 
-    async def _other(self, request: web.Request) -> web.StreamResponse:
+    async def _call_plain_service(self, request: web.Request) -> web.StreamResponse:
         try:
             caller = self._authenticate(request)
-            async with self._counted(caller):
-                body = await self._body(request)
+            async with self._admitted(caller):
+                body = await self._read_body(request)
                 return await self._plain.answer(request, caller, body)
         except Refusal as refusal:
-            return self._refused(refusal, "")
+            return self._refusal_response(refusal, "")
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         span = self._tracer.start_span("entry", context=_PROPAGATOR.extract(request.headers))
@@ -105,8 +118,8 @@
         request_id = ""
         try:
             caller = self._authenticate(request)
-            async with self._counted(caller):
-                body = await self._body(request)
+            async with self._admitted(caller):
+                body = await self._read_body(request)
                 req = parse_request(
                     self._agent.config,
                     caller,
@@ -119,11 +132,11 @@
                 request_id = req.request_id
                 span.set_attribute("model", req.model)
                 span.set_attribute("request_id", request_id)
-                return await self._run(request, req)
+                return await self._answer_with_claim(request, req)
         except Refusal as refusal:
             span.set_attribute("refused", refusal.code)
-            started = request.get(_STARTED)
-            return self._refused(refusal, request_id) if started is None else started
+            started = request.get(_STARTED_STREAM)
+            return self._refusal_response(refusal, request_id) if started is None else started
         finally:
             span.end()
 
@@ -132,8 +145,9 @@
     def _authenticate(self, request: web.Request) -> str:
         if self.refusing:
             raise Refusal(503, "draining", "this host is shutting down", retry_after_ms=1000)
-        # A gateway that is cut off may act on a grant that was revoked. Refusing is the truthful
-        # answer once the lease is over; within it an election goes unnoticed by callers.
+        # A gateway that is cut off from the controllers may act on a grant that was revoked, so it
+        # refuses once its configuration lease has ended. Until then it keeps serving, and an
+        # election of a new leader goes unnoticed by callers.
         if not self._agent.is_config_confirmed():
             message = "the configuration in force can't be confirmed"
             raise Refusal(503, "configuration_unconfirmed", message, retry_after_ms=1000)
@@ -144,7 +158,7 @@
         return caller
 
     @asynccontextmanager
-    async def _counted(self, caller: str) -> AsyncIterator[None]:
+    async def _admitted(self, caller: str) -> AsyncIterator[None]:
         async with self._limits.admitted(caller, self._agent.config.callers[caller]):
             self.in_progress += 1
             try:
@@ -152,18 +166,23 @@
             finally:
                 self.in_progress -= 1
 
-    async def _body(self, request: web.Request) -> bytes:
+    async def _read_body(self, request: web.Request) -> bytes:
         try:
-            # A body that trickles in would hold its place for ever.
-            return await self._clock.within_ms(BODY_MS, request.read())
+            # Without a timeout, a body that trickles in would count as a request in progress for
+            # ever.
+            return await self._clock.within_ms(BODY_TIMEOUT_MS, request.read())
         except web.HTTPRequestEntityTooLarge as exc:
             raise Refusal(413, "body_too_large", f"at most {MAX_BODY_BYTES} bytes") from exc
         except TimeoutError as exc:
-            raise Refusal(408, "body_too_slow", f"no whole body within {BODY_MS} ms") from exc
+            raise Refusal(
+                408, "body_too_slow", f"no whole body within {BODY_TIMEOUT_MS} ms"
+            ) from exc
 
     # Answers
 
-    async def _run(self, request: web.Request, req: CallerRequest) -> web.StreamResponse:
+    async def _answer_with_claim(
+        self, request: web.Request, req: CallerRequest
+    ) -> web.StreamResponse:
         if not req.claim_key:
             return await self._answer(request, req)
         wanted = ClaimRequest(
@@ -208,22 +227,22 @@
         )
         await resp.prepare(request)
         try:
-            await resp.write(_as_bytes(first))
+            await resp.write(_encode_events(first))
             async for events in batches:
-                await resp.write(_as_bytes(events))
+                await resp.write(_encode_events(events))
             await resp.write_eof()
         except Refusal as refusal:
-            # Ending the transfer in the usual way here would make a short answer look whole. The
-            # error event is for clients that read it, the broken transfer for all the others.
+            # A regular end of the transfer would make a truncated answer look complete. Clients
+            # that parse events see the error event; all others see the broken transfer.
             await resp.write(b"data: " + error_text(refusal, req.request_id).encode() + b"\n\n")
             self._metrics.count(f"broken_streams.{refusal.code}")
             if request.transport is not None:
                 request.transport.close()
-            request[_STARTED] = resp
+            request[_STARTED_STREAM] = resp
             raise
         return resp
 
-    def _refused(self, refusal: Refusal, request_id: str) -> web.StreamResponse:
+    def _refusal_response(self, refusal: Refusal, request_id: str) -> web.StreamResponse:
         self._metrics.count(f"refused.{refusal.code}")
         return web.Response(
             status=refusal.status,
@@ -233,5 +252,5 @@
         )
 
 
-def _as_bytes(events: Sequence[AnswerEvent]) -> bytes:
+def _encode_events(events: Sequence[AnswerEvent]) -> bytes:
     return b"".join(b"data: " + event.data + b"\n\n" for event in events)
--- a/chestnutfall/caller_edge/caller_limits.py
+++ b/chestnutfall/caller_edge/caller_limits.py
@@ -1,4 +1,4 @@
-"""Rate of each caller through all gateways, and its requests at once at this one."""
+"""Limits of each caller: rate over all gateways, concurrency at this gateway."""
 
 from __future__ import annotations
 
@@ -11,12 +11,15 @@
 from ..quota.quota_enforcer import Charge, OverQuota, QuotaEnforcer
 from ..requests import Executed, Refusal
 
-WAIT_MS = 500
-"""How long a request waits for a word on its caller's rate, where there is no controller."""
+QUOTA_TIMEOUT_MS = 500
+"""How long a request waits for a decision on its caller's rate when no controller answers."""
 
 
 class CallerLimits:
-    """Counts requests in progress, and takes each out of its caller's rate."""
+    """Enforces the concurrency and charges the rate of each caller.
+
+    The concurrency holds at this gateway alone; the rate holds over all gateways together.
+    """
 
     def __init__(self, quotas: QuotaEnforcer, clock: Clock) -> None:
         self._quotas = quotas
@@ -25,12 +28,15 @@
 
     @asynccontextmanager
     async def admitted(self, name: str, caller: Caller) -> AsyncIterator[None]:
-        """Count a request in for as long as the context lasts.
+        """Admit one request, and count it as in progress until the context exits.
+
+        A request that ends with a 503 refusal and provably did not run gets its charge back.
 
         Raises
         ------
         Refusal
-            When the caller is over a limit.
+            429 when the caller is over its concurrency or rate; 503 when no controller can say
+            what is left of the rate.
         """
         if self._running[name] >= caller.concurrency:
             raise Refusal(
@@ -54,7 +60,7 @@
                 del self._running[name]
 
     async def _charge(self, name: str, caller: Caller) -> Charge:
-        until_ms = self._clock.now_ms() + WAIT_MS
+        until_ms = self._clock.now_ms() + QUOTA_TIMEOUT_MS
         try:
             return await self._quotas.admit(caller.as_organisation(name), None, until_ms)
         except OverQuota as exc:
--- a/chestnutfall/caller_edge/control_quota_line.py
+++ b/chestnutfall/caller_edge/control_quota_line.py
@@ -1,4 +1,4 @@
-"""The leading controller as keeper of callers' rates."""
+"""Calls to the leading controller, which keeps the quotas of callers."""
 
 from __future__ import annotations
 
@@ -12,27 +12,28 @@
 from ..quota.quota_client import NoQuotaLeader, QuotaClient
 
 log = logging.getLogger(__name__)
-ASK_MS = 300
-"""A leader answers in some ms; a caller doesn't wait for an election to hear of its rate."""
-TELL_MS = 2_000
-LOOK_AGAIN_MS = 200
-"""How soon a gateway learns that a caller has plenty again."""
+ASK_TIMEOUT_MS = 300
+"""A leader answers within a few ms; a caller does not wait for an election to learn its rate."""
+REPORT_TIMEOUT_MS = 2_000
+LEVEL_REFRESH_MS = 200
+"""A gateway that asks, and whose last report is this old, sends an empty one to get levels."""
 
 
 class ControlQuotaLine(QuotaClient):
-    """Tells and asks by calls to the controllers.
+    """Reports and asks for quota by calls to the controllers.
 
     Attributes
     ----------
     on_news : callable
-        Told which callers are short, with each answer to what was told.
+        Called with the `QuotaNews` that answers each report; it lists the callers that are short
+        of quota.
     """
 
     def __init__(self, client: ControlClient, clock: Clock) -> None:
         self._client = client
         self._clock = clock
         self._connected = True
-        self._told_ms = clock.now_ms()
+        self._reported_ms = clock.now_ms()
         self._sending: set[asyncio.Task[None]] = set()
         self.on_news: Callable[[QuotaNews], None] = lambda news: None
 
@@ -42,21 +43,22 @@
 
     @property
     def isolated(self) -> bool:
-        # A controller that doesn't lead says where to ask, and the client goes there by itself.
+        # There is no third state: a controller that does not lead names the leader, and the client
+        # follows it by itself.
         return not self._connected
 
     def report_use(self, use: UsedQuota) -> None:
-        self._told_ms = self._clock.now_ms()
-        task = asyncio.ensure_future(self._tell(use))
+        self._reported_ms = self._clock.now_ms()
+        task = asyncio.ensure_future(self._send_report(use))
         self._sending.add(task)
         task.add_done_callback(self._sending.discard)
 
-    async def _tell(self, use: UsedQuota) -> None:
+    async def _send_report(self, use: UsedQuota) -> None:
         try:
-            answer = await self._client.ask(use, TELL_MS)
+            answer = await self._client.ask(use, REPORT_TIMEOUT_MS)
         except NoController as exc:
             self._connected = False
-            log.warning("quota: no controller took %d uses: %s", len(use.uses), exc)
+            log.warning("quota: no controller accepted a report of %d uses: %s", len(use.uses), exc)
             return
         self._connected = True
         if isinstance(answer, QuotaNews):
@@ -64,17 +66,19 @@
 
     async def ask_quota(self, organisation: str, units: float) -> AnswerQuota:
         try:
-            answer = await self._client.ask(AskQuota(0, organisation, units), ASK_MS)
+            answer = await self._client.ask(AskQuota(0, organisation, units), ASK_TIMEOUT_MS)
         except NoController as exc:
             self._connected = False
             raise NoQuotaLeader(str(exc)) from exc
         if not isinstance(answer, AnswerQuota):
-            raise NoQuotaLeader(f"not an answer: {answer}")
-        # Nobody is told of plenty unasked here, and who only asks would ask for ever.
-        if self._clock.now_ms() >= self._told_ms + LOOK_AGAIN_MS:
+            raise NoQuotaLeader(f"unexpected reply to a quota question: {answer}")
+        # Controllers send levels only in reply to a report. A gateway whose requests are all asked
+        # for has nothing to report, and would never learn that a caller has plenty of quota again;
+        # it sends an empty report instead.
+        if self._clock.now_ms() >= self._reported_ms + LEVEL_REFRESH_MS:
             self.report_use(UsedQuota(()))
         return answer
 
     async def until_connected(self, within_ms: float) -> bool:
-        await self._clock.sleep_ms(min(within_ms, ASK_MS))
+        await self._clock.sleep_ms(min(within_ms, ASK_TIMEOUT_MS))
         return True
--- a/chestnutfall/caller_edge/error_body.py
+++ b/chestnutfall/caller_edge/error_body.py
@@ -1,4 +1,4 @@
-"""Refusals as callers see them."""
+"""Error responses in the format of the OpenAI API."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def error_object(refusal: Refusal, request_id: str) -> dict[str, Any]:
-    """The error object of the OpenAI API, with `executed`."""
+    """Return the error object of the OpenAI API, extended by `executed` and retry data."""
     return {
         "error": {
             "message": refusal.message,
@@ -27,18 +27,21 @@
 
 
 def error_text(refusal: Refusal, request_id: str) -> str:
-    """The error object as JSON."""
+    """Return the error object as JSON text."""
     return json.dumps(error_object(refusal, request_id))
 
 
 def error_headers(refusal: Refusal) -> dict[str, str]:
-    """Headers that tell a client whether and when to try again."""
+    """Return the headers that tell a client whether and when to retry.
+
+    `Retry-After` is in whole seconds, rounded up, and at least 1.
+    """
     headers = {"X-Executed": refusal.executed.value}
     if refusal.retry_after_ms is not None:
         headers["Retry-After"] = str(max(math.ceil(refusal.retry_after_ms / 1000), 1))
-    # The usual client repeats requests on 409, 429 and 5xx by itself. A non-idempotent request
-    # that may have run would run twice without its caller's knowledge; such refusals, and those
-    # that a repeat can't help, carry no time to come back.
+    # Common client libraries retry 409, 429 and 5xx by themselves. A non-idempotent request that
+    # may have run would then run twice without its caller's knowledge. Such refusals, and those
+    # for which a retry cannot help, have no `retry_after_ms`.
     if refusal.retry_after_ms is None:
         headers["x-should-retry"] = "false"
     return headers
--- a/chestnutfall/caller_edge/field_types.py
+++ b/chestnutfall/caller_edge/field_types.py
@@ -1,6 +1,6 @@
-"""Types of the fields of the OpenAI API that every engine reads.
+"""Types of the fields of the OpenAI API that every engine supports.
 
-Fields that are not listed are passed on as they are; engines differ in what else they take.
+Fields that are not listed are passed on unchecked, since engines differ in what else they accept.
 """
 
 from __future__ import annotations
@@ -15,8 +15,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Rule:
-    """A check of one field, and the words for what it allows."""
+class _FieldRule:
+    """The type check of one field.
+
+    Attributes
+    ----------
+    name : str
+        Name of the field.
+    allows : callable
+        Whether a value has the right type.
+    allowed : str
+        What is allowed, for the message to the caller.
+    """
 
     name: str
     allows: Callable[[Any], bool]
@@ -24,15 +34,16 @@
 
 
 def check_field_types(path: str, fields: Mapping[str, Any]) -> None:
-    """Check the fields of a request to `path`.
+    """Check the types of the JSON fields of a request to the API path `path`.
 
     Raises
     ------
     Refusal
-        When a field has a wrong type; names it and what is allowed.
+        400 when a field has a wrong type, or a chat request has no `messages`; the message names
+        the field and what is allowed.
     """
     is_chat = path.endswith(CHAT_SUFFIX)
-    # A completion without a prompt is a request of the API: the engine begins a new text.
+    # The API allows a completion without a prompt: the engine begins a new text.
     if is_chat and fields.get(_MESSAGES.name) is None:
         raise Refusal(400, "bad_request", f"`messages` is missing; it must be {_MESSAGES.allowed}")
     for rule in (_MESSAGES if is_chat else _PROMPT, *_OPTIONAL):
@@ -48,7 +59,7 @@
     return isinstance(value.get("content"), str | list | None)
 
 
-def _are_messages(value: Any) -> bool:
+def _is_message_list(value: Any) -> bool:
     return isinstance(value, list) and bool(value) and all(map(_is_message, value))
 
 
@@ -56,7 +67,7 @@
     return isinstance(value, str | list)
 
 
-def _is_whole(value: Any) -> bool:
+def _is_positive_integer(value: Any) -> bool:
     return isinstance(value, int) and not isinstance(value, bool) and value > 0
 
 
@@ -69,12 +80,12 @@
     return all(isinstance(text, str) for text in texts)
 
 
-_MESSAGES = _Rule("messages", _are_messages, "a list of messages, each with a role")
-_PROMPT = _Rule("prompt", _is_prompt, "a string or a list")
+_MESSAGES = _FieldRule("messages", _is_message_list, "a list of messages, each with a role")
+_PROMPT = _FieldRule("prompt", _is_prompt, "a string or a list")
 _OPTIONAL = (
-    _Rule("max_tokens", _is_whole, "a whole number over 0"),
-    _Rule("n", _is_whole, "a whole number over 0"),
-    _Rule("temperature", _is_number, "a number"),
-    _Rule("top_p", _is_number, "a number"),
-    _Rule("stop", _is_stop, "a string or a list of strings"),
+    _FieldRule("max_tokens", _is_positive_integer, "a whole number over 0"),
+    _FieldRule("n", _is_positive_integer, "a whole number over 0"),
+    _FieldRule("temperature", _is_number, "a number"),
+    _FieldRule("top_p", _is_number, "a number"),
+    _FieldRule("stop", _is_stop, "a string or a list of strings"),
 )
--- a/chestnutfall/caller_edge/request_parser.py
+++ b/chestnutfall/caller_edge/request_parser.py
@@ -1,4 +1,4 @@
-"""From an HTTP request to a checked `CallerRequest`."""
+"""Parses and checks a caller's HTTP request."""
 
 from __future__ import annotations
 
@@ -29,13 +29,25 @@
 ) -> CallerRequest:
     """Check `body` and `headers` against the configuration.
 
+    Parameters
+    ----------
+    now_ms : int
+        Present clock time; the deadline counts from it.
+    trace : dict
+        W3C trace context headers, passed on to the engine.
+
+    Returns
+    -------
+    CallerRequest
+        The request with a new id, the full engine name of its model, and its deadline.
+
     Raises
     ------
     Refusal
-        When anything is malformed, unknown or not granted.
+        400, 403 or 404 when anything is malformed, unknown or not granted to the caller.
     """
     caller = cfg.callers[caller_name]
-    fields = _fields(body)
+    fields = _parse_fields(body)
     adapter_name, version = _adapter_and_version(cfg, caller, fields.get("model"))
     adapter = cfg.adapters[adapter_name]
     model = adapter.engine_name(adapter_name, version)
@@ -61,13 +73,13 @@
         _priority(headers, caller),
         non_idempotent,
         claim_key,
-        now_ms + _wait_ms(headers, cfg.limits.request_ms),
+        now_ms + _timeout_ms(headers, cfg.limits.request_ms),
         service.silent_ms,
         trace,
     )
 
 
-def _fields(body: bytes) -> dict[str, Any]:
+def _parse_fields(body: bytes) -> dict[str, Any]:
     parsed = read_json_text(body, "body")
     if parsed.is_error():
         raise Refusal(400, "bad_json", "; ".join(str(finding) for finding in parsed.error))
@@ -80,25 +92,25 @@
     if not isinstance(model, str) or not model:
         raise Refusal(400, "bad_request", "`model` must be a string like adapter@version")
     name, _, version = model.partition("@")
-    # An adapter that is not granted is answered like one that does not exist, so that names
-    # can't be probed.
+    # An adapter that is not granted gets the same answer as one that does not exist, so that
+    # callers cannot probe for names.
     adapter = cfg.adapters.get(name)
     if adapter is None or not caller.may_use_adapter(name):
         raise Refusal(404, "model_not_found", f"no model {model!r} for this caller")
     if not version and adapter.default_version is None:
-        message = f"{name!r} names no version; use one of {_models(name, adapter)}"
+        message = f"{name!r} names no version; use one of {_model_names(name, adapter)}"
         raise Refusal(400, "version_required", message)
     version = version or str(adapter.default_version)
     version, _, digest = version.partition("+")
     if version not in adapter.versions:
-        message = f"no version {version!r}; there are {_models(name, adapter)}"
+        message = f"no version {version!r}; there are {_model_names(name, adapter)}"
         raise Refusal(404, "model_not_found", message)
     if digest and adapter.engine_name(name, version) != model:
         raise Refusal(404, "model_not_found", f"{name}@{version} has another content digest")
     return name, version
 
 
-def _models(name: str, adapter: Adapter) -> list[str]:
+def _model_names(name: str, adapter: Adapter) -> list[str]:
     return [f"{name}@{version}" for version in adapter.versions]
 
 
@@ -121,10 +133,10 @@
     return wanted
 
 
-def _wait_ms(headers: Mapping[str, str], longest_ms: int) -> int:
+def _timeout_ms(headers: Mapping[str, str], max_ms: int) -> int:
     asked = headers.get("X-Timeout-Ms")
     if asked is None:
-        return longest_ms
-    if not asked.isdigit() or not 0 < int(asked) <= longest_ms:
-        raise Refusal(400, "bad_timeout", f"X-Timeout-Ms must be 1 to {longest_ms}")
+        return max_ms
+    if not asked.isdigit() or not 0 < int(asked) <= max_ms:
+        raise Refusal(400, "bad_timeout", f"X-Timeout-Ms must be 1 to {max_ms}")
     return int(asked)
--- a/chestnutfall/tests/test_field_types.py
+++ b/chestnutfall/tests/test_field_types.py
@@ -1,7 +1,7 @@
-"""A chat request whose `messages` is a string is answered as if it were right.
+"""Guards against malformed fields that reach an engine.
 
-The engine gets what it can't read, and the caller a draft of nothing. Wrong types must be refused
-with the field's name, before anything is placed.
+Without the check, a chat request whose `messages` is a string is answered from an empty prompt. A
+wrong type must be refused, with the field's name, before the request is placed.
 """
 
 from __future__ import annotations
