--- a/chestnutfall/engine_edge/__init__.py
+++ b/chestnutfall/engine_edge/__init__.py
@@ -1,9 +1,9 @@
-"""How gateways talk to engines: one port, and an adapter for each dialect."""
+"""Client interface to engines, with one implementation for each protocol."""
 
 from __future__ import annotations
 
 from .answer_event import AnswerEvent
-from .answer_gate import AnswerGate
+from .answer_validator import AnswerValidator
 from .engine_api import Batches, EngineApi
 from .engine_request import EngineRequest
 from .engine_state import EngineState
@@ -12,7 +12,7 @@
 
 __all__ = [
     "AnswerEvent",
-    "AnswerGate",
+    "AnswerValidator",
     "Batches",
     "EngineApi",
     "EngineBroken",
--- a/chestnutfall/engine_edge/answer_event.py
+++ b/chestnutfall/engine_edge/answer_event.py
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerEvent:
-    """A piece of an answer.
+    """One server-sent event of a streamed answer, or the whole body of an answer in one piece.
 
     Attributes
     ----------
     number : int
-        Position in the answer, from 1, or 0 when the engine numbers nothing.
+        Position in the answer, from 1; 0 when the engine does not number its events.
     data : bytes
         JSON text; for a stream the payload of one event.
     last : bool
-        Whether the answer is whole with this event.
+        Whether the answer is complete with this event.
     """
 
     number: int
--- a/chestnutfall/engine_edge/engine_api.py
+++ b/chestnutfall/engine_edge/engine_api.py
@@ -1,4 +1,4 @@
-"""The port to engines."""
+"""Interface to engines."""
 
 from __future__ import annotations
 
@@ -11,37 +11,42 @@
 from .order import Order
 
 Batches = AsyncGenerator[Sequence[AnswerEvent], None]
+"""An answer in progress; each item holds the events that arrived together."""
 
 
 class EngineApi(ABC):
-    """What the gateway needs of an engine; `address` is its IP and port."""
+    """Calls from a gateway to engines.
+
+    In every method, `address` is the engine's IP and port.
+    """
 
     @abstractmethod
     def run(self, address: str, req: EngineRequest) -> Batches:
-        """Run a request and yield its answer, as many events at a time as came together.
+        """Start a run of the request and yield the events of its answer as they arrive.
 
         Raises
         ------
         EngineRefused
-            When it provably did not run.
+            When the request provably did not run.
         EngineBroken
-            When the answer ended before its last event.
+            When the answer failed before its last event; the request may have run.
         """
 
     @abstractmethod
     def resume(self, address: str, req: EngineRequest, after: int) -> Batches:
-        """Yield the events of the same run behind number `after`, on a fresh connection.
+        """Yield the events of the same run after number `after`, on a new connection.
 
-        This never starts a run: an engine that does not hold the attempt refuses.
+        This never starts a run: an engine that does not know the attempt refuses with
+        `EngineRefused`.
         """
 
     @abstractmethod
     async def cancel(self, address: str, attempt_id: str) -> None:
-        """End a run whose caller left; errors are swallowed."""
+        """Cancel a run whose answer is no longer wanted; errors are ignored."""
 
     @abstractmethod
     async def state(self, address: str, timeout_ms: float) -> EngineState:
-        """Ask for a fresh report.
+        """Request the engine's present state.
 
         Raises
         ------
@@ -51,7 +56,7 @@
 
     @abstractmethod
     async def order(self, address: str, order: Order, timeout_ms: float) -> str:
-        """Give an order; return `accepted` or the engine's reason to refuse.
+        """Send a load or unload order; return `accepted` or the engine's reason to refuse.
 
         Raises
         ------
--- a/chestnutfall/engine_edge/engine_request.py
+++ b/chestnutfall/engine_edge/engine_request.py
@@ -1,4 +1,4 @@
-"""A request as an engine gets it."""
+"""One attempt to run a request on an engine."""
 
 from __future__ import annotations
 
@@ -8,35 +8,39 @@
 from ..signals import UpstreamSignals
 
 OnSignals = Callable[[UpstreamSignals, bool], None]
-"""Told what an answer says of its engine, and whether the answer is a success."""
+"""Receives the signals in an answer's headers, and whether the status is a success."""
 
 
-def _ignore(signals: UpstreamSignals, succeeded: bool) -> None:
-    """Take no notice."""
+def _ignore_signals(signals: UpstreamSignals, succeeded: bool) -> None:
+    """Ignore the signals; the default of `EngineRequest.on_signals`."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineRequest:
-    """One attempt at one engine.
+    """One attempt to run a request on one engine.
 
     Attributes
     ----------
     attempt_id : str
-        Unique for each attempt; the engine answers under it.
+        Unique for each attempt; the engine's answer carries it as its id.
     path : str
         API path, like `/v1/chat/completions`.
     model : str
         The adapter's name on engines, with version and content digest.
     body : bytes
         JSON body.
+    stream : bool
+        Whether the answer is a stream of server-sent events.
+    priority : int
+        Rank of the priority class; 0 goes first.
     fresh_connection : bool
-        Whether a pooled connection must not be used.
+        Whether the request must have a new connection instead of a pooled one.
     silent_ms : int
-        How long the engine may be silent.
+        Longest time without data from the engine before the attempt fails.
     trace : dict
         W3C trace context headers.
     on_signals : callable
-        Told what each answer to it says of its engine.
+        Called once for each HTTP answer to this attempt, a resumed one included.
     """
 
     attempt_id: str
@@ -48,4 +52,4 @@
     fresh_connection: bool
     silent_ms: int
     trace: dict[str, str]
-    on_signals: OnSignals = _ignore
+    on_signals: OnSignals = _ignore_signals
--- a/chestnutfall/engine_edge/engine_state.py
+++ b/chestnutfall/engine_edge/engine_state.py
@@ -1,4 +1,4 @@
-"""What an engine reports of itself when asked."""
+"""State that an engine reports on request."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """A fresh report.
+    """An engine's own report of its adapters and runs.
 
     Attributes
     ----------
     incarnation : str
-        New with each start of the engine.
+        Identifier that changes with each start of the engine.
     slots : int
-        Adapters it can hold.
+        Number of adapters that it can hold.
     adapters : dict of str to str
-        `loading`, `ready` or `failed` by adapter name.
+        State by adapter name: `loading`, `ready` or `failed`.
     running : dict of str to str
-        Adapter by attempt id, of all requests it holds, queued ones included.
+        Adapter by attempt id, for running and queued requests.
     """
 
     incarnation: str
--- a/chestnutfall/engine_edge/errors.py
+++ b/chestnutfall/engine_edge/errors.py
@@ -1,17 +1,17 @@
-"""How an engine fails a request."""
+"""Errors of a request to an engine."""
 
 from __future__ import annotations
 
 
 class EngineRefused(Exception):
-    """The engine provably did not run the request: no connection, or its own refusal.
+    """The engine provably did not run the request: no connection, or the engine's own refusal.
 
     Attributes
     ----------
     code : str
-        Machine-readable reason.
+        Machine-readable reason, passed on to the caller.
     final : bool
-        Whether another engine would refuse as well (the request itself is bad).
+        Whether another engine would refuse too, since the request itself is bad.
     """
 
     def __init__(self, code: str, message: str, final: bool = False) -> None:
@@ -21,7 +21,13 @@
 
 
 class EngineBroken(Exception):
-    """The answer broke off, was wrong, or fell silent; the request may have run."""
+    """The answer broke off, was wrong, or stalled; the request may have run.
+
+    Attributes
+    ----------
+    code : str
+        Machine-readable reason, passed on to the caller.
+    """
 
     def __init__(self, code: str, message: str) -> None:
         super().__init__(message)
--- a/chestnutfall/engine_edge/http_engine_api.py
+++ b/chestnutfall/engine_edge/http_engine_api.py
@@ -1,4 +1,4 @@
-"""Engines that speak the OpenAI API, with server-sent events."""
+"""HTTP client for engines with the OpenAI API and server-sent events."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from ..signals.own_headers import OWN_SIGNALS
 from ..wire.single_send_session import single_send_session
 from .answer_event import AnswerEvent
-from .answer_gate import DONE
+from .answer_validator import DONE
 from .engine_api import Batches, EngineApi
 from .engine_request import EngineRequest
 from .engine_state import EngineState
 from .errors import EngineBroken, EngineRefused
 from .order import Order
 
-CONNECT_MS = 500
+CONNECT_TIMEOUT_MS = 500
 IDLE_CONNECTION_S = 2.0
 MAX_EVENT_BYTES = 1024 * 1024
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 ATTEMPT_HEADER = "X-Request-Id"
 PRIORITY_HEADER = "X-Priority"
 _EVENT_END = b"\n\n"
-_NO_FAULT_CLIENT = (400, 413, 422)
+_BAD_REQUEST_STATUSES = (400, 413, 422)
 
 
 class HttpEngineApi(EngineApi):
-    """One pool of connections to all engines.
+    """HTTP client with one pool of connections to all engines.
 
-    A connection goes back to the pool only after its answer was read to the end (aiohttp closes
-    it otherwise), so no answer can be read by the request after it.
+    A connection returns to the pool only after its answer was read to the end (aiohttp closes it
+    otherwise), so a later request on the connection cannot read the rest of an earlier answer.
     """
 
     def __init__(self, unread: UnreadHeaders) -> None:
@@ -61,7 +61,7 @@
             headers=headers,
             timeout=_timeout(req.silent_ms),
         )
-        return _answer(call, req, self._unread)
+        return _read_answer(call, req, self._unread)
 
     def resume(self, address: str, req: EngineRequest, after: int) -> Batches:
         call = self._fresh.get(
@@ -69,18 +69,18 @@
             headers={"Last-Event-ID": str(after)},
             timeout=_timeout(req.silent_ms),
         )
-        return _answer(call, req, self._unread)
+        return _read_answer(call, req, self._unread)
 
     async def cancel(self, address: str, attempt_id: str) -> None:
         try:
             url = f"http://{address}/v1/runs/{attempt_id}"
-            async with self._fresh.delete(url, timeout=_timeout(CONNECT_MS)):
+            async with self._fresh.delete(url, timeout=_timeout(CONNECT_TIMEOUT_MS)):
                 pass
         except (aiohttp.ClientError, TimeoutError, OSError):
             return
 
     async def state(self, address: str, timeout_ms: float) -> EngineState:
-        found = await self._json("GET", f"http://{address}/v1/state", None, timeout_ms)
+        found = await self._request_json("GET", f"http://{address}/v1/state", None, timeout_ms)
         return EngineState(
             str(found["incarnation"]),
             int(found["slots"]),
@@ -90,14 +90,14 @@
 
     async def order(self, address: str, order: Order, timeout_ms: float) -> str:
         body = {"kind": order.kind.value, "epoch": order.epoch, "adapter": order.adapter}
-        found = await self._json("POST", f"http://{address}/v1/orders", body, timeout_ms)
+        found = await self._request_json("POST", f"http://{address}/v1/orders", body, timeout_ms)
         return str(found["outcome"])
 
-    async def _json(self, method: str, url: str, body: Any, timeout_ms: float) -> Any:
+    async def _request_json(self, method: str, url: str, body: Any, timeout_ms: float) -> Any:
         timeout = aiohttp.ClientTimeout(total=timeout_ms / 1000)
         try:
-            # Reading a state or giving an order again does no harm, so a pooled connection may be
-            # used: if it has gone silent this call times out and the next one gets another.
+            # State reads and orders may be repeated without harm, so a pooled connection is safe:
+            # if it is dead, this call times out and the next one gets another connection.
             async with self._pool.request(method, url, json=body, timeout=timeout) as resp:
                 return await resp.json()
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as exc:
@@ -106,11 +106,11 @@
 
 def _timeout(silent_ms: float) -> aiohttp.ClientTimeout:
     return aiohttp.ClientTimeout(
-        total=None, sock_connect=CONNECT_MS / 1000, sock_read=silent_ms / 1000
+        total=None, sock_connect=CONNECT_TIMEOUT_MS / 1000, sock_read=silent_ms / 1000
     )
 
 
-async def _answer(call: Any, req: EngineRequest, unread: UnreadHeaders) -> Batches:
+async def _read_answer(call: Any, req: EngineRequest, unread: UnreadHeaders) -> Batches:
     try:
         async with call as resp:
             unread.note("engine", resp.headers)
@@ -118,7 +118,7 @@
             if resp.status != 200:
                 await _raise_refusal(resp)
             if not req.stream:
-                yield (AnswerEvent(1, await _whole_body(resp), last=True),)
+                yield (AnswerEvent(1, await _read_body(resp), last=True),)
                 return
             rest = b""
             async for chunk in resp.content.iter_any():
@@ -141,13 +141,14 @@
         code, message, ran = str(error["code"]), str(error["message"]), error.get("ran", True)
     except (ValueError, KeyError, TypeError):
         code, message, ran = "engine_error", f"status {resp.status}", True
-    # Only the engine's own word that nothing ran counts; a bare 500 may follow half a run.
-    if ran is False or resp.status in _NO_FAULT_CLIENT:
-        raise EngineRefused(code, message, final=resp.status in _NO_FAULT_CLIENT)
+    # Only the engine's own statement that nothing ran is a proof; a bare 500 may follow half a
+    # run.
+    if ran is False or resp.status in _BAD_REQUEST_STATUSES:
+        raise EngineRefused(code, message, final=resp.status in _BAD_REQUEST_STATUSES)
     raise EngineBroken(code, message)
 
 
-async def _whole_body(resp: aiohttp.ClientResponse) -> bytes:
+async def _read_body(resp: aiohttp.ClientResponse) -> bytes:
     body = bytearray()
     async for chunk in resp.content.iter_any():
         body += chunk
--- a/chestnutfall/engine_edge/order.py
+++ b/chestnutfall/engine_edge/order.py
@@ -1,4 +1,4 @@
-"""An order of an engine's owner."""
+"""An order to an engine, from the gateway that owns it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class OrderKind(Enum):
-    """What an engine is told to do."""
+    """The closed set of orders to an engine."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """Load or unload an adapter; the same order twice has the effect of one.
+    """Load or unload an adapter; a repeated order has no further effect.
 
     Attributes
     ----------
     epoch : int
-        Fencing number; an engine that checks refuses one lower than it has seen.
+        Fencing token; an engine that checks it refuses an epoch lower than it has seen.
     adapter : str
-        Name with version and content digest.
+        Adapter name with version and content digest.
     """
 
     kind: OrderKind
--- a/chestnutfall/routing/dispatcher.py
+++ b/chestnutfall/routing/dispatcher.py
@@ -13,7 +13,7 @@
 
 from ..clock import Clock
 from ..engine_edge import (
-    AnswerGate,
+    AnswerValidator,
     Batches,
     EngineApi,
     EngineBroken,
@@ -196,7 +196,7 @@
         )
 
     async def _run(self, engine: Upstream, req: EngineRequest) -> Batches:
-        gate = AnswerGate(req.attempt_id, req.model)
+        gate = AnswerValidator(req.attempt_id, req.model)
         resumes = 0
         batches = self._api.run(engine.address, req)
         try:
@@ -205,15 +205,15 @@
                     async for events in self._checked_batches(batches, gate):
                         yield events
                 except (EngineBroken, EngineRefused) as exc:
-                    if resumes == 0 and gate.seen == 0 and isinstance(exc, EngineRefused):
+                    if resumes == 0 and gate.last_number == 0 and isinstance(exc, EngineRefused):
                         raise
                     resumes += 1
-                    if resumes > MAX_RESUMES or not _may_resume(exc, req, gate.seen):
+                    if resumes > MAX_RESUMES or not _may_resume(exc, req, gate.last_number):
                         self._raise_broken(exc)
                     self._metrics.count("resumes")
                     await self._clock.sleep_ms(self._resume_wait_ms(engine, req, resumes))
                     self._links.report_resume(engine.name)
-                    batches = self._api.resume(engine.address, req, gate.seen)
+                    batches = self._api.resume(engine.address, req, gate.last_number)
         finally:
             if gate.dropped:
                 self._metrics.count("events_dropped", gate.dropped)
@@ -221,16 +221,16 @@
                 self._cancel(engine, req.attempt_id)
 
     @staticmethod
-    async def _checked_batches(batches: Batches, gate: AnswerGate) -> Batches:
+    async def _checked_batches(batches: Batches, gate: AnswerValidator) -> Batches:
         async for batch in batches:
-            events, failure = gate.pass_on(batch)
+            events, failure = gate.accept(batch)
             if events:
                 yield events
             if failure is not None:
                 raise failure
             if gate.whole:
                 return
-        failure = gate.ended()
+        failure = gate.check_end()
         if failure is not None:
             raise failure
 
--- a/chestnutfall/tests/test_http_engine_api.py
+++ b/chestnutfall/tests/test_http_engine_api.py
@@ -1,7 +1,8 @@
-"""The adapter to engines over real HTTP, against the stand-in engine and its faults.
+"""The HTTP client for engines against the stand-in engine and its faults.
 
-A caller gets a short or foreign answer, or is told "not run" of what ran. The engine's connection
-breaks, falls silent or ends early at different moments; what the adapter says of it must be true.
+Guards against callers that get a truncated or foreign answer, or a "not run" for a request that
+ran. The engine's connection breaks, stalls or ends early at different moments, and the client must
+report each failure correctly.
 """
 
 from __future__ import annotations
@@ -13,7 +14,14 @@
 
 from aiohttp import web
 
-from ..engine_edge import AnswerGate, EngineBroken, EngineRefused, EngineRequest, Order, OrderKind
+from ..engine_edge import (
+    AnswerValidator,
+    EngineBroken,
+    EngineRefused,
+    EngineRequest,
+    Order,
+    OrderKind,
+)
 from ..engine_edge.http_engine_api import HttpEngineApi
 from ..signals import UnreadHeaders
 from ..standin.engine_app import EngineApp
@@ -43,21 +51,21 @@
         body = json.dumps({"model": MODEL, "stream": stream, "max_tokens": 5}).encode()
         return EngineRequest(attempt_id, "/v1/completions", MODEL, body, stream, 1, False, 300, {})
 
-    async def _read(self, batches: Any, gate: AnswerGate) -> list[bytes]:
+    async def _read(self, batches: Any, validator: AnswerValidator) -> list[bytes]:
         data = []
         async for batch in batches:
-            events, failure = gate.pass_on(batch)
+            events, failure = validator.accept(batch)
             data.extend(event.data for event in events)
             if failure is not None:
                 raise failure
-        failure = gate.ended()
+        failure = validator.check_end()
         if failure is not None:
             raise failure
         return data
 
     async def _run(self, req: EngineRequest) -> list[bytes]:
-        gate = AnswerGate(req.attempt_id, req.model)
-        return await self._read(self.api.run(self.address, req), gate)
+        validator = AnswerValidator(req.attempt_id, req.model)
+        return await self._read(self.api.run(self.address, req), validator)
 
     async def test_answers_come_whole(self) -> None:
         streamed = await self._run(self._request())
@@ -65,7 +73,7 @@
         whole = await self._run(self._request(stream=False, attempt_id="attempt-2"))
         self.assertEqual(json.loads(whole[0])["model"], MODEL)
 
-    async def test_each_fault_is_told_as_what_it_is(self) -> None:
+    async def test_each_fault_is_reported_with_its_code(self) -> None:
         cases = [
             ("silent", True, "engine_silent"),
             ("reset", True, "engine_connection_lost"),
@@ -90,22 +98,24 @@
 
     async def test_resume_gives_the_rest_of_the_same_run(self) -> None:
         req = self._request()
-        gate = AnswerGate(req.attempt_id, req.model)
+        validator = AnswerValidator(req.attempt_id, req.model)
         self.core.faults["mid_reset"] = 1
         with self.assertRaises(EngineBroken):
-            await self._read(self.api.run(self.address, req), gate)
-        rest = await self._read(self.api.resume(self.address, req, gate.seen), gate)
+            await self._read(self.api.run(self.address, req), validator)
+        rest = await self._read(
+            self.api.resume(self.address, req, validator.last_number), validator
+        )
         self.assertEqual(rest[-1], b"[DONE]")
         self.assertEqual(self.core.counts["runs"], 1)
 
     async def test_resume_of_an_unknown_run_starts_nothing(self) -> None:
         with self.assertRaises(EngineRefused) as caught:
             req = self._request()
-            await self._read(self.api.resume(self.address, req, 2), AnswerGate("x", MODEL))
+            await self._read(self.api.resume(self.address, req, 2), AnswerValidator("x", MODEL))
         self.assertEqual(caught.exception.code, "run_unknown")
         self.assertEqual(self.core.counts["runs"], 0)
 
-    async def test_not_run_is_said_of_what_the_engine_never_had(self) -> None:
+    async def test_requests_that_never_reach_an_engine_are_reported_as_not_run(self) -> None:
         self.core.adapters.clear()
         with self.assertRaises(EngineRefused):
             await self._run(self._request())
@@ -114,7 +124,7 @@
             await self._run(self._request())
         self.assertEqual(self.core.counts["runs"], 0)
 
-    async def test_error_without_the_engines_word_may_have_run(self) -> None:
+    async def test_error_without_a_statement_of_the_engine_may_have_run(self) -> None:
         async def broken(request: web.Request) -> web.Response:
             return web.Response(status=503, text="<html>")
 
@@ -142,7 +152,7 @@
         with self.assertRaises(ConnectionError):
             await self.api.state(free_address(), 200)
 
-    async def test_cancel_frees_the_place(self) -> None:
+    async def test_cancel_ends_the_run(self) -> None:
         self.core.step_ms = 50
         batches = self.api.run(self.address, self._request())
         await anext(batches)
--- a/properties/safeguards/caller_mutants.py
+++ b/properties/safeguards/caller_mutants.py
@@ -7,7 +7,7 @@
 _OWNER = "chestnutfall/ownership/engine_owner.py"
 _LOADER = "chestnutfall/ownership/adapter_loader.py"
 _DISPATCHER = "chestnutfall/routing/dispatcher.py"
-_CHECKS = "chestnutfall/engine_edge/answer_gate.py"
+_CHECKS = "chestnutfall/engine_edge/answer_validator.py"
 _AGENT = "chestnutfall/membership/gateway_agent.py"
 _UPSTREAM = "chestnutfall/membership/upstream.py"
 _CLAIMS = "chestnutfall/routing/claim_client.py"
@@ -113,21 +113,21 @@
     Mutant(
         "another request's answer not noticed",
         _CHECKS,
-        "                if self._id_mark not in event.data:",
+        "                if self._attempt_id_bytes not in event.data:",
         "                if False:",
         _FAULTS_TEST,
     ),
     Mutant(
         "events passed on twice",
         _CHECKS,
-        "            if event.number and event.number <= self.seen:",
+        "            if event.number and event.number <= self.last_number:",
         "            if False:",
         _FAULTS_TEST,
     ),
     Mutant(
         "missing event not noticed",
         _CHECKS,
-        "            if event.number and event.number != self.seen + 1:",
+        "            if event.number and event.number != self.last_number + 1:",
         "            if False:",
         _FAULTS_TEST,
     ),
@@ -135,7 +135,7 @@
         "short answer looks whole",
         _CHECKS,
         "        if self.whole:\n            return None",
-        "        if self.seen:\n            self.whole = True\n            return None",
+        "        if self.last_number:\n            self.whole = True\n            return None",
         _FAULTS_TEST,
     ),
     Mutant(
