--- a/chestnutfall/plain_edge/__init__.py
+++ b/chestnutfall/plain_edge/__init__.py
@@ -1,4 +1,4 @@
-"""Plain services beside the engines."""
+"""Proxy for plain HTTP services, which are not engines."""
 
 from __future__ import annotations
 
--- a/chestnutfall/plain_edge/plain_answer.py
+++ b/chestnutfall/plain_edge/plain_answer.py
@@ -1,4 +1,4 @@
-"""What an upstream of a plain service answered."""
+"""Answer of an upstream of a plain service."""
 
 from __future__ import annotations
 
@@ -9,23 +9,31 @@
 from ..signals import AskedBackoff, UpstreamSignals
 
 EXECUTED_HEADER = "X-Executed"
-NOT_RUN = "no"
-"""With it an upstream proves that it did not run a call which it turns away."""
+EXECUTED_NO = "no"
+"""Value of `X-Executed` by which an upstream states that it did not run a call it turned away."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlainAnswer:
-    """A whole answer, and what it says of its upstream."""
+    """A complete answer, and the signals of its upstream.
+
+    Attributes
+    ----------
+    response : web.Response
+        The answer as the caller gets it.
+    signals : UpstreamSignals
+        Load, limit, backoff and leaving signals from its headers.
+    """
 
     response: web.Response
     signals: UpstreamSignals
 
     @property
     def turned_away(self) -> bool:
-        """Whether the upstream wants nothing from this gateway for some time."""
+        """Whether the upstream refused the call and asked for a backoff."""
         return isinstance(self.signals.backoff, AskedBackoff)
 
     @property
     def not_run(self) -> bool:
-        """Whether the call provably did not run."""
-        return self.turned_away and self.response.headers.get(EXECUTED_HEADER) == NOT_RUN
+        """Whether the upstream turned the call away and stated that it did not run."""
+        return self.turned_away and self.response.headers.get(EXECUTED_HEADER) == EXECUTED_NO
--- a/chestnutfall/plain_edge/plain_proxy.py
+++ b/chestnutfall/plain_edge/plain_proxy.py
@@ -1,4 +1,4 @@
-"""Routes calls to plain services by path."""
+"""Proxy that routes calls to plain services by path."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 CONNECT_S = 0.5
 MAX_ATTEMPTS = 3
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
-_HOP_HEADERS = frozenset(
+_NOT_FORWARDED = frozenset(
     {
         "authorization",
         "connection",
@@ -43,10 +43,10 @@
 
 
 class PlainProxy:
-    """Relays one call to one upstream of the service that its path names.
+    """Relays each call to an upstream of the service whose path prefix matches.
 
-    An answer is read whole before its first byte goes to the caller, so that a caller gets all
-    of it or a refusal.
+    An answer is read completely before its first byte goes to the caller, so that a caller gets
+    either all of it or a refusal.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self._metrics = metrics
         self._data_centre = data_centre
         self._session = single_send_session(aiohttp.TCPConnector(limit=0, force_close=True))
-        self._turn = 0
+        self._round_robin = 0
         self._unread = UnreadHeaders((*OWN_SIGNALS.all, EXECUTED_HEADER), metrics.count)
 
     async def close(self) -> None:
@@ -77,33 +77,37 @@
         await self._session.close()
 
     async def answer(self, request: web.Request, caller_name: str, body: bytes) -> web.Response:
-        """Run the call.
+        """Relay one call and return the upstream's answer.
+
+        A call with an `Idempotency-Key` runs under a claim, at most once over all gateways. Other
+        calls go to up to `MAX_ATTEMPTS` upstreams; a non-idempotent one is repeated only when it
+        provably did not run.
 
         Raises
         ------
         Refusal
-            When no whole answer could be had.
+            When no upstream gave a complete answer; it says whether the call may have run.
         """
-        name, service = self._service(request.path, self._agent.config.callers[caller_name])
+        name, service = self._find_service(request.path, self._agent.config.callers[caller_name])
         key = request.headers.get("Idempotency-Key", "")
-        once = request.method in service.non_idempotent_methods or bool(key)
-        if once and service.key_required and not key:
+        at_most_once = request.method in service.non_idempotent_methods or bool(key)
+        if at_most_once and service.key_required and not key:
             raise Refusal(400, "idempotency_key_required", "this call needs an Idempotency-Key")
-        place = f"{request.method} {request.path_qs}"
-        fingerprint = fingerprint_of(caller_name, place, body)
+        target = f"{request.method} {request.path_qs}"
+        fingerprint = fingerprint_of(caller_name, target, body)
         if not key:
-            return await self._relay(request, name, service, body, fingerprint, once)
+            return await self._relay(request, name, service, body, fingerprint, at_most_once)
         wanted = ClaimRequest(
             caller_name,
             key,
-            digest_of(place, body),
+            digest_of(target, body),
             uuid.uuid4().hex,
             self._agent.config.limits.claim_retention_ms,
         )
         async with self._claims.held(wanted):
-            return await self._relay(request, name, service, body, fingerprint, once=True)
+            return await self._relay(request, name, service, body, fingerprint, at_most_once=True)
 
-    def _service(self, path: str, caller: Caller) -> tuple[str, Service]:
+    def _find_service(self, path: str, caller: Caller) -> tuple[str, Service]:
         for name, service in self._agent.config.services.items():
             inside = path == service.path or path.startswith(service.path.rstrip("/") + "/")
             if service.kind == "plain" and inside and caller.may_use_service(name):
@@ -117,12 +121,12 @@
         service: Service,
         body: bytes,
         fingerprint: str,
-        once: bool,
+        at_most_once: bool,
     ) -> web.Response:
         tried: set[str] = set()
         executed = Executed.NO
         message = "no upstream announces itself"
-        last: web.Response | None = None
+        last_response: web.Response | None = None
         broke = False
         for _ in range(MAX_ATTEMPTS):
             self._quarantine.check(fingerprint, executed)
@@ -134,8 +138,8 @@
             try:
                 answer = await self._call(request, upstream, service, body)
                 self._quarantine.note_answered(fingerprint)
-                last = answer.response
-                if not answer.turned_away or (once and not answer.not_run):
+                last_response = answer.response
+                if not answer.turned_away or (at_most_once and not answer.not_run):
                     break
                 executed = executed if answer.not_run else Executed.UNKNOWN
             except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
@@ -146,46 +150,60 @@
                 self._quarantine.note_broken(
                     fingerprint, upstream.instance, upstream.address, began_ms
                 )
-                if once:
+                if at_most_once:
                     break
             self._metrics.count("plain.retries")
-        # An upstream tells of itself alone that nothing ran; another one may have run the call.
-        if last is not None and not (broke and last.status in NOT_RUN_STATUSES):
-            return last
+        # An upstream's "not run" holds for that upstream alone: after an attempt that broke off,
+        # the call may have run at another one.
+        if last_response is not None and not (broke and last_response.status in NOT_RUN_STATUSES):
+            return last_response
         status = 503 if executed is Executed.NO else 502
-        wait_ms = 1000 if executed is Executed.NO or not once else None
+        wait_ms = 1000 if executed is Executed.NO or not at_most_once else None
         raise Refusal(status, "service_unavailable", message, executed, wait_ms)
 
     def _choose(self, service: str, tried: set[str]) -> Upstream | None:
-        """The upstream whose turn it is; None if none is left to try.
+        """Choose the next upstream, round robin, those in this data centre first.
+
+        Returns
+        -------
+        Upstream or None
+            None when no upstream is left to send to.
 
         Raises
         ------
         Refusal
-            When none of the service takes a call now.
+            On the first attempt, when every upstream is backing off or at its limit.
         """
         serving = list(self._registry.serving(service))
         untried = [up for up in serving if up.name not in tried]
-        # The call is sent to it at once, so that this is the last look at what it said.
-        found = [up for up in untried if self._signals.may_send(up.instance)]
-        near = [up for up in found if up.announcement.data_centre == self._data_centre]
-        choices = sorted(near or found, key=lambda up: up.name)
-        self._turn += 1
-        turn = self._turn % len(choices) if choices else 0
-        in_turn = [*choices[turn:], *choices[:turn], *(up for up in found if up not in choices)]
-        for up in in_turn:
+        # The call is sent right after this choice, so no later check of the signals is needed.
+        sendable = [up for up in untried if self._signals.may_send(up.instance)]
+        local = [up for up in sendable if up.announcement.data_centre == self._data_centre]
+        preferred = sorted(local or sendable, key=lambda up: up.name)
+        self._round_robin += 1
+        start = self._round_robin % len(preferred) if preferred else 0
+        candidates = [
+            *preferred[start:],
+            *preferred[:start],
+            *(up for up in sendable if up not in preferred),
+        ]
+        for up in candidates:
             if self._signals.limits.may_send_without_leader(up.instance):
                 return up
         if serving and not tried:
-            raise self._all_limited(found) if found else self._all_back_off(service, serving)
+            raise (
+                self._limited_refusal(sendable)
+                if sendable
+                else self._backing_off_refusal(service, serving)
+            )
         return None
 
-    def _all_back_off(self, service: str, upstreams: list[Upstream]) -> Refusal:
+    def _backing_off_refusal(self, service: str, upstreams: list[Upstream]) -> Refusal:
         held_back_ms = self._signals.held_back_ms(up.instance for up in upstreams)
         wait_ms = self._signals.caller_retry_ms(service, held_back_ms)
         return Refusal(503, BACKING_OFF, "no upstream wants calls now", Executed.NO, wait_ms)
 
-    def _all_limited(self, upstreams: list[Upstream]) -> Refusal:
+    def _limited_refusal(self, upstreams: list[Upstream]) -> Refusal:
         wait_ms = min(self._signals.limits.leaderless_interval_ms(up.instance) for up in upstreams)
         message = "each upstream takes no more requests than it gets"
         return Refusal(503, "limited", message, Executed.NO, int(wait_ms))
@@ -200,7 +218,7 @@
             request.method,
             f"http://{upstream.address}{request.path_qs}",
             data=body,
-            headers=_passed_on(request.headers),
+            headers=_forwarded_headers(request.headers),
             timeout=timeout,
             allow_redirects=False,
         )
@@ -212,11 +230,11 @@
             answer = await resp.content.read(MAX_ANSWER_BYTES)
             if not resp.content.at_eof():
                 raise aiohttp.ClientPayloadError("the answer is too large")
-            passed_on = _passed_on(resp.headers)
+            forwarded = _forwarded_headers(resp.headers)
             return PlainAnswer(
-                web.Response(status=resp.status, body=answer, headers=passed_on), signals
+                web.Response(status=resp.status, body=answer, headers=forwarded), signals
             )
 
 
-def _passed_on(headers: Any) -> dict[str, str]:
-    return {name: value for name, value in headers.items() if name.lower() not in _HOP_HEADERS}
+def _forwarded_headers(headers: Any) -> dict[str, str]:
+    return {name: value for name, value in headers.items() if name.lower() not in _NOT_FORWARDED}
--- a/chestnutfall/programs/plain.py
+++ b/chestnutfall/programs/plain.py
@@ -10,7 +10,7 @@
 import aiohttp
 from aiohttp import web
 
-from ..plain_edge.plain_answer import EXECUTED_HEADER, NOT_RUN
+from ..plain_edge.plain_answer import EXECUTED_HEADER, EXECUTED_NO
 from ..settings.plain_settings import PlainSettings
 from ..standin.announcer import Announcer
 from ..standin.spoken_words import SpokenWords
@@ -33,7 +33,7 @@
 
     async def answer(request: web.Request) -> web.Response:
         if words.turns_away():
-            headers = {EXECUTED_HEADER: NOT_RUN}
+            headers = {EXECUTED_HEADER: EXECUTED_NO}
             return web.json_response({"error": "asks for time"}, status=503, headers=headers)
         calls[f"{request.method} {request.path}"] += 1
         body = {"service": settings.name, "path": request.path, "calls": calls}
--- a/chestnutfall/tests/test_plain_proxy.py
+++ b/chestnutfall/tests/test_plain_proxy.py
@@ -1,8 +1,8 @@
-"""A plain service's calls that end each upstream that runs them, on the product's own interface.
+"""Calls to plain services: crashes, rate limits, backoff and leaving upstreams.
 
-A lookup that ends its upstream is repeated on the next one; its caller sends it again. Once the
-controllers hold it to blame it is refused before anything runs, and a call that had begun by then
-is told that it may have run.
+Guards against a call that crashes every upstream that runs it: it is repeated on the next upstream,
+and its caller sends it again. Once the controllers quarantine it, it is refused before it runs; a
+call that broke off before then is answered with "may have run".
 """
 
 from __future__ import annotations
@@ -48,10 +48,10 @@
         self.gateway = self.office.gateway()
         self.reports: list[CrashReport] = []
         self.quarantine = RequestQuarantine(self.reports.append, self._refuses, self.office.clock)
-        self.on_break = lambda: None
+        self.on_crash = lambda: None
         self.received_bodies: list[bytes] = []
         self.headers: dict[str, str] = {}
-        self.retry_after: dict[str, str] = {}
+        self.retry_after_s: dict[str, str] = {}
         self.turned_away: list[str] = []
         self.served_by: list[str] = []
         self.announced: list[Announcement] = []
@@ -98,15 +98,15 @@
 
     async def _run(self, request: web.BaseRequest, name: str) -> web.StreamResponse:
         body = await request.read()
-        if name in self.retry_after:
+        if name in self.retry_after_s:
             self.turned_away.append(name)
-            headers = {"Retry-After": self.retry_after[name], **self.headers}
+            headers = {"Retry-After": self.retry_after_s[name], **self.headers}
             return web.Response(status=503, headers=headers)
         self.received_bodies.append(body)
         self.served_by.append(name)
         if body == FATAL and request.transport is not None:
             request.transport.abort()
-            self.on_break()
+            self.on_crash()
         return web.Response(body=b"answer", headers=self.headers)
 
     async def _answer(self, body: bytes) -> web.Response:
@@ -115,7 +115,7 @@
     async def _refused(self) -> Refusal:
         with self.assertRaises(Refusal) as caught:
             await self._answer(FATAL)
-        for _ in range(10):  # the reports are sent beside the answer
+        for _ in range(10):  # the reports are sent in background tasks
             await asyncio.sleep(0)
         return caught.exception
 
@@ -138,21 +138,23 @@
         self.assertEqual(self.received_bodies, [b"usual"])
 
     async def test_a_call_that_broke_off_before_the_quarantine_may_have_run(self) -> None:
-        self.on_break = self._hold
+        self.on_crash = self._hold
         refusal = await self._refused()
         self.assertEqual((refusal.status, refusal.executed), (502, Executed.UNKNOWN))
         self.assertEqual(len(self.received_bodies), 1)
 
-    async def test_an_answer_to_a_watched_call_is_told(self) -> None:
+    async def test_an_answer_to_a_watched_call_is_reported(self) -> None:
         watched = fingerprint_of("ana", "PUT /counter/x", b"usual")
         self.quarantine.update(SuspectRequests(1, (watched,), ()))
         await self._answer(b"usual")
         self.assertEqual(self.reports, [AnsweredRun(watched)])
 
-    # Guards against plain services that name a limit and get as many calls as before.
-    async def test_limited_upstreams_get_this_gateway_s_share_and_the_rest_is_refused(self) -> None:
+    # Guards against calls over the rate limit that a plain service names.
+    async def test_limited_upstreams_get_the_share_of_this_gateway_and_the_rest_is_refused(
+        self,
+    ) -> None:
         self._limit("2")
-        for body in (b"1", b"2"):  # one at each upstream, which names its limit
+        for body in (b"1", b"2"):  # one call to each upstream, whose answer names its limit
             await self._answer(body)
         self.assertEqual(len(self.received_bodies), 2)
         refusals = []
@@ -182,45 +184,46 @@
             await self._answer(b"free")
         self.assertEqual(len(self.received_bodies) - ran, 20)
 
-    # Guards against plain services that ask for time and get the next call at once.
-    async def test_one_that_asks_for_time_gets_it_and_callers_lose_nothing(self) -> None:
-        self.retry_after = {"counter-0": "2"}
+    # Guards against calls to an upstream that asked for backoff.
+    async def test_an_upstream_that_asks_for_backoff_gets_it_and_callers_lose_nothing(self) -> None:
+        self.retry_after_s = {"counter-0": "2"}
         for _ in range(40):
             self.assertEqual((await self._answer(b"more")).body, b"answer")
             await self._pass_ms(100)
         self.assertEqual(self.turned_away, ["counter-0"] * 2)
-        self.retry_after = {}
+        self.retry_after_s = {}
         await self._pass_ms(2_000)
         self.served_by.clear()
         for _ in range(4):
             await self._answer(b"more")
         self.assertEqual(set(self.served_by), {"counter-0", "counter-1"})
 
-    # Guards against a call that may not be repeated and is sent twice without a proof.
+    # Guards against a non-idempotent call that is repeated without proof that it did not run.
     async def test_a_call_that_may_not_be_repeated_goes_on_only_after_a_proof(self) -> None:
         for headers, runs in (({}, 0), ({"X-Executed": "no"}, 1)):
             with self.subTest(headers):
                 self.received_bodies.clear()
-                self.retry_after, self.headers = {"counter-0": "0", "counter-1": "0"}, headers
+                self.retry_after_s, self.headers = {"counter-0": "0", "counter-1": "0"}, headers
                 request = make_mocked_request("POST", "/counter/x")
                 answer = await self.proxy.answer(request, "ana", b"once")
                 self.assertEqual(answer.status, 503)
                 self.assertEqual(len(self.turned_away), 1 + runs)
                 self.turned_away.clear()
 
-    # Guards against a caller who is told "not run" by the last upstream when the first one ran it.
-    async def test_a_refusal_says_nothing_of_the_upstream_before(self) -> None:
-        self.retry_after = {"counter-1": "1"}
-        self.proxy._turn = 1  # the one that breaks off is the first
+    # Guards against "not run" to the caller when the last upstream did not run the call, but an
+    # earlier one may have.
+    async def test_a_not_run_of_one_upstream_does_not_hold_for_an_earlier_one(self) -> None:
+        self.retry_after_s = {"counter-1": "1"}
+        self.proxy._round_robin = 1  # the upstream that breaks off is chosen first
         with self.assertRaises(Refusal) as caught:
             await self._answer(FATAL)
         self.assertEqual(self.turned_away, ["counter-1"])
         self.assertEqual(caught.exception.status, 502)
         self.assertEqual(caught.exception.executed, Executed.UNKNOWN)
 
-    # Guards against callers who are not told when all of a service want time.
-    async def test_where_all_ask_for_time_callers_are_told_at_once(self) -> None:
-        self.retry_after = {"counter-0": "3", "counter-1": "3"}
+    # Guards against calls that wait, or reach upstreams, while all upstreams of a service back off.
+    async def test_when_all_upstreams_back_off_calls_are_refused_at_once(self) -> None:
+        self.retry_after_s = {"counter-0": "3", "counter-1": "3"}
         self.assertEqual((await self._answer(b"first")).status, 503)
         for _ in range(20):
             await self._pass_ms(50)
@@ -232,8 +235,8 @@
             self.assertTrue(1_900 <= (refusal.retry_after_ms or 0) <= 6_000)
         self.assertEqual(len(self.turned_away), 2)
 
-    # Guards against plain services that say that they leave and get work all the same.
-    async def test_one_that_says_that_it_leaves_gets_nothing_more(self) -> None:
+    # Guards against calls to an upstream that signalled that it is leaving.
+    async def test_an_upstream_that_signals_that_it_leaves_gets_no_more_calls(self) -> None:
         self.headers = {OWN_SIGNALS.leaving: "1"}
         await self._answer(b"1")
         self.headers = {}
@@ -246,7 +249,7 @@
     def _may_send(self, announced: Announcement) -> bool:
         return self.gateway.signals.may_send(f"{announced.name}/{announced.incarnation}")
 
-    # Guards against a word that is taken back by an announcement made before it.
+    # Guards against a leaving signal that an announcement made before it revokes.
     async def test_an_upstream_that_announced_that_it_leaves_leaves_for_good(self) -> None:
         first = self.announced[0]
         self.gateway.registry.register(replace(first, state="leaving"))
--- a/properties/safeguards/signal_mutants.py
+++ b/properties/safeguards/signal_mutants.py
@@ -91,9 +91,9 @@
     Mutant(
         "plain services that want nothing get calls",
         "chestnutfall/plain_edge/plain_proxy.py",
-        "found = [up for up in untried if self._signals.may_send(up.instance)]",
-        "found = untried",
-        f"{_PLAIN}.test_one_that_asks_for_time_gets_it_and_callers_lose_nothing",
+        "sendable = [up for up in untried if self._signals.may_send(up.instance)]",
+        "sendable = untried",
+        f"{_PLAIN}.test_an_upstream_that_asks_for_backoff_gets_it_and_callers_lose_nothing",
     ),
 )
 
