--- a/chestnutfall/requests/__init__.py
+++ b/chestnutfall/requests/__init__.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way, and how it may fail."""
+"""A caller's request, its digests, and its refusal."""
 
 from __future__ import annotations
 
--- a/chestnutfall/requests/caller_request.py
+++ b/chestnutfall/requests/caller_request.py
@@ -1,4 +1,4 @@
-"""A request that was checked and may be run."""
+"""A caller's request after all checks."""
 
 from __future__ import annotations
 
@@ -9,26 +9,36 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """One request of a caller to an adapter.
+    """One checked request of a caller to an adapter.
 
     Attributes
     ----------
     request_id : str
-        Chosen by us, unique.
+        Unique id, made by the gateway.
     caller : str
         Name of the caller.
     service : str
         Engine service that runs it.
+    path : str
+        API path, like `/v1/chat/completions`.
     model : str
         The adapter's name on engines, with version and content digest.
     body : bytes
         JSON body for the engine.
+    stream : bool
+        Whether the answer is a stream of server-sent events.
+    priority : PriorityClass
+        Class that its caller asked for and may have.
     non_idempotent : bool
-        Whether it may be dispatched at most once.
+        Whether it may run at most once.
     claim_key : str
         `Idempotency-Key`; empty when there is none.
     deadline_ms : int
         Clock time by which the answer must have begun.
+    silent_ms : int
+        Longest time without data from the engine while it answers.
+    trace : dict
+        W3C trace context headers, passed on to the engine.
     """
 
     request_id: str
--- a/chestnutfall/requests/executed.py
+++ b/chestnutfall/requests/executed.py
@@ -1,15 +1,15 @@
-"""What is known of whether a request ran."""
+"""Whether a request ran, as far as is known."""
 
 from __future__ import annotations
 
 from enum import Enum
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""By each of these a caller is told that its request did not run."""
+"""HTTP statuses that tell a caller that its request did not run."""
 
 
 class Executed(Enum):
-    """`NO` is said only when it is proven that nothing ran."""
+    """Whether a request ran; `NO` only when it is proven that no upstream ran it."""
 
     NO = "no"
     UNKNOWN = "unknown"
--- a/chestnutfall/requests/key_digest.py
+++ b/chestnutfall/requests/key_digest.py
@@ -1,4 +1,4 @@
-"""What is known of a caller's key beyond the edge."""
+"""Digest that stands for a caller's key inside the system."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def key_digest(key: str) -> str:
-    """Digest of a key, which finds its holder and doesn't give the key away."""
+    """Return the SHA-256 of a key, in hexadecimal; it identifies the holder without the key."""
     return hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
--- a/chestnutfall/requests/refusal.py
+++ b/chestnutfall/requests/refusal.py
@@ -1,4 +1,4 @@
-"""The truthful answer to a request that gets no other."""
+"""Error answer to a request that could not be served."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Refusal(Exception):
-    """A final answer that is not the asked one.
+    """Raised to end a request with an error answer to its caller.
 
     Attributes
     ----------
@@ -14,10 +14,12 @@
         HTTP status.
     code : str
         Machine-readable reason.
+    message : str
+        Reason for people.
     executed : Executed
-        Whether the request ran.
+        Whether the request ran, as far as is known.
     retry_after_ms : int or None
-        When to come back; None when that does not help.
+        Time until a retry is useful; None when the caller should not retry.
     """
 
     def __init__(
