--- a/chestnutfall/forwarding/admission.py
+++ b/chestnutfall/forwarding/admission.py
@@ -78,7 +78,9 @@
         NotAdmitted
             When the route needs a key and the call has none or an unknown one.
         """
-        organisation = table.holder(call.key_digest) if call.key_digest is not None else None
+        organisation = (
+            table.organisation_by_key(call.key_digest) if call.key_digest is not None else None
+        )
         if organisation is None and table.needs_key(route):
             raise NotAdmitted(401, UNKNOWN_KEY)
         return organisation
--- a/chestnutfall/platform/document_json.py
+++ b/chestnutfall/platform/document_json.py
@@ -21,7 +21,7 @@
     UnreadableDocument,
     WeightedService,
 )
-from ..routes.document_check import FILE
+from ..routes.document_check import DOCUMENT_NAME
 
 
 class _Model(msgspec.Struct):
@@ -106,9 +106,9 @@
         try:
             wire = self._decoder.decode(content)
         except msgspec.MsgspecError as exc:
-            raise UnreadableDocument([Finding(FILE, "", str(exc))]) from exc
+            raise UnreadableDocument([Finding(DOCUMENT_NAME, "", str(exc))]) from exc
         except UnicodeDecodeError as exc:
-            raise UnreadableDocument([Finding(FILE, "", f"not UTF-8: {exc}")]) from exc
+            raise UnreadableDocument([Finding(DOCUMENT_NAME, "", f"not UTF-8: {exc}")]) from exc
         return Document(
             wire.version,
             tuple(_route(at, route) for at, route in enumerate(wire.routes)),
@@ -127,7 +127,7 @@
     kind = _KINDS.get(wire.kind)
     if kind is None:
         rule = f"the kind must be one of {', '.join(_KINDS)}"
-        raise UnreadableDocument([Finding(FILE, f"/routes/{at}/kind", rule, wire.kind)])
+        raise UnreadableDocument([Finding(DOCUMENT_NAME, f"/routes/{at}/kind", rule, wire.kind)])
     if kind is RouteKind.STREAM and wire.resumable:
         kind = RouteKind.RESUMABLE_STREAM
     targets = tuple(WeightedService(one.service, one.weight) for one in wire.backends)
@@ -150,7 +150,7 @@
     units = {unit.value: unit for unit in QuotaUnit}
     if wire.unit not in units:
         rule = f"the unit must be one of {', '.join(units)}"
-        raise UnreadableDocument([Finding(FILE, f"/tenants/{at}/unit", rule, wire.unit)])
+        raise UnreadableDocument([Finding(DOCUMENT_NAME, f"/tenants/{at}/unit", rule, wire.unit)])
     quota = Quota(units[wire.unit], wire.rate_per_s, wire.burst, wire.plain_tokens)
     digests = tuple(key_digest(key) for key in wire.api_keys)
     return Organisation(wire.name, digests, wire.priority, quota)
--- a/chestnutfall/routes/__init__.py
+++ b/chestnutfall/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration as one numbered document: routes, services, organisations and limits."""
+"""Configuration as one versioned document: routes, services, organisations and limits."""
 
 from __future__ import annotations
 
--- a/chestnutfall/routes/document.py
+++ b/chestnutfall/routes/document.py
@@ -1,4 +1,4 @@
-"""A whole configuration under one version."""
+"""A complete configuration with its version."""
 
 from __future__ import annotations
 
@@ -12,12 +12,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """Routes, services, limits and organisations that are in force together.
+    """Routes, services, limits and organisations that are in force together; immutable.
 
     Attributes
     ----------
+    version : int
+        Number of this document.
+    routes : tuple of Route
+        Routes, unique by host and path prefix.
+    services : tuple of ServiceSpec
+        Services that the routes may name.
+    limits : DocumentLimits
+        Bounds on each request and its connection.
     organisations : tuple of Organisation
-        Who may call; empty where nobody needs a key.
+        Callers with keys; when empty, no route needs a key.
     """
 
     version: int
--- a/chestnutfall/routes/document_codec.py
+++ b/chestnutfall/routes/document_codec.py
@@ -1,4 +1,4 @@
-"""How a document is written as bytes."""
+"""Decoding of documents from bytes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,13 @@
 
 
 class UnreadableDocument(ValueError):
-    """The bytes are not a whole document; `findings` say where and why."""
+    """The bytes are not a complete document.
+
+    Attributes
+    ----------
+    findings : list of Finding
+        What is missing or has a wrong type, and where.
+    """
 
     def __init__(self, findings: list[Finding]) -> None:
         super().__init__("; ".join(str(finding) for finding in findings))
@@ -17,15 +23,15 @@
 
 
 class DocumentCodec(ABC):
-    """Reads documents in the format that operators send.
+    """Decodes documents in the format that operators send.
 
-    The log and the gateways carry the operator's own bytes, so that what an auditor reads back
-    is what was sent.
+    There is no encoder: the log and the gateways keep the operator's own bytes, so that an
+    auditor reads back exactly what was sent.
     """
 
     @abstractmethod
     def decode(self, content: bytes) -> Document:
-        """Read a document.
+        """Decode a document; rules between fields are left to `check_document`.
 
         Raises
         ------
--- a/chestnutfall/routes/document_limits.py
+++ b/chestnutfall/routes/document_limits.py
@@ -1,4 +1,4 @@
-"""What a client may send, and how long it may take."""
+"""Limits on callers' requests and connections."""
 
 from __future__ import annotations
 
@@ -7,9 +7,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentLimits:
-    """Bounds on a request and its connection.
+    """Limits on each request of a caller and its connection.
 
-    The defaults hold until the first document is in force, and are those of common HTTP servers.
+    The defaults, those of common HTTP servers, hold until the first document is in force.
+
+    Attributes
+    ----------
+    max_header_bytes, max_body_bytes : int
+        Largest header section and largest body of a request.
+    header_timeout_ms : int
+        Time to receive the header section.
+    idle_timeout_ms : int
+        Time that a connection may be without a request.
     """
 
     max_header_bytes: int = 16_384
--- a/chestnutfall/routes/engine_spec.py
+++ b/chestnutfall/routes/engine_spec.py
@@ -1,4 +1,4 @@
-"""What every engine of a service can hold and run."""
+"""Capacity of the engines of one service."""
 
 from __future__ import annotations
 
@@ -9,20 +9,22 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """Engines of one service.
+    """Capacity that each engine of a service has.
 
     Attributes
     ----------
     batch : int
-        Requests that run at once.
+        Most requests that run at once.
     kv_tokens : int
-        Tokens that fit into memory.
+        Tokens whose keys and values fit into the engine's memory.
+    models : tuple of ModelSpec
+        Base models that the engines may hold.
     weights_mb : float
-        Memory for the weights of models and adapters together.
+        Memory for the weights of models and adapters together, in MB.
     adapter_slots : int
-        Adapters that fit, those in transit included.
+        Adapters that fit, including those that are being loaded.
     loads_per_s : float
-        Loads of models from the weight store, over all engines.
+        Loads of models from the weight store, a second, over all engines together.
     """
 
     batch: int
--- a/chestnutfall/routes/model_spec.py
+++ b/chestnutfall/routes/model_spec.py
@@ -7,7 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelSpec:
-    """One base model, and the size of its weights in MB."""
+    """One base model.
+
+    Attributes
+    ----------
+    name : str
+        Name by which engines report it.
+    weights_mb : float
+        Size of its weights, in MB.
+    """
 
     name: str
     weights_mb: float
--- a/chestnutfall/routes/organisation.py
+++ b/chestnutfall/routes/organisation.py
@@ -1,4 +1,4 @@
-"""Who may call, by which keys, and how much."""
+"""Callers of a document, with their keys and quotas."""
 
 from __future__ import annotations
 
@@ -13,11 +13,15 @@
 
     Attributes
     ----------
+    name : str
+        Unique name; printable ASCII, as upstreams get it in a header.
     key_digests : tuple of str
-        Digests of its keys; the keys themselves stand only in the document that operators send,
-        so that no log line, error or dump of this object gives one away.
+        Digests of its keys. The keys themselves are only in the document that operators send, so
+        that no log line, error or dump of this object reveals one.
     rank : int or None
-        Urgency of its requests, 0 is first; None where the route's holds.
+        Urgency of its requests, 0 goes first; None when the rank of the route holds.
+    quota : Quota
+        Rate limit on its requests, over all gateways.
     """
 
     name: str
--- a/chestnutfall/routes/quota.py
+++ b/chestnutfall/routes/quota.py
@@ -1,4 +1,4 @@
-"""How much an organisation may ask for."""
+"""Rate limit of an organisation."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     unit : QuotaUnit
         What `per_s` and `burst` count.
     per_s : float
-        Units a second that are allowed for ever; 0 where nothing is limited.
+        Sustained rate, in units a second; 0 for no limit.
     burst : float
-        Units beyond that which may come at once.
+        Units beyond the sustained rate that may come at once.
     plain_tokens : int
-        What a request that names no tokens counts for, where tokens are counted.
+        Cost of a request without a token count, when the unit is tokens.
     """
 
     unit: QuotaUnit
@@ -30,11 +30,11 @@
 
     @property
     def limited(self) -> bool:
-        """Whether there is a limit at all."""
+        """Whether there is any limit."""
         return self.per_s > 0
 
     def cost(self, tokens: int | None) -> float:
-        """Units that a request takes; `tokens` is None where it names none."""
+        """Return the units that a request costs; `tokens` is None for one without a token count."""
         if self.unit is QuotaUnit.REQUESTS:
             return 1.0
         return float(self.plain_tokens if tokens is None else tokens)
--- a/chestnutfall/routes/quota_unit.py
+++ b/chestnutfall/routes/quota_unit.py
@@ -1,4 +1,4 @@
-"""What a quota counts."""
+"""Units of a quota."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class QuotaUnit(Enum):
-    """The closed set of units."""
+    """What a quota counts: requests, or their tokens."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
--- a/chestnutfall/routes/route.py
+++ b/chestnutfall/routes/route.py
@@ -1,4 +1,4 @@
-"""Where requests of one host and path prefix go."""
+"""A route for the requests to one host and path prefix."""
 
 from __future__ import annotations
 
@@ -10,26 +10,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route.
+    """Services and rules for the requests to one host and path prefix.
 
     Attributes
     ----------
+    name : str
+        Name of the route.
     host, path_prefix : str
-        Requests that it takes; the longest prefix of a host wins.
+        Requests that the route matches; the longest prefix of a host wins.
+    kind : RouteKind
+        Whether requests may be repeated, and whether answers are streams.
     timeout_ms : int
-        Longest time a request may be kept waiting for its final answer.
+        Longest time until a request has its final answer.
     objective_ms : int
-        Latency objective; of a stream, until its first event.
+        Latency objective; for a stream, until its first event.
     rank : int
-        Urgency, 0 is first.
+        Urgency, 0 goes first.
     targets : tuple of WeightedService
-        Services that share its requests.
+        Services that share the requests by weight.
     attempts : int
         Most upstreams that may run one request.
     pause_objective_ms : int
-        Longest pause between two events of a stream that is still on time.
+        Longest pause between two events of a stream that still meets the objective.
     public : bool
-        Whether it needs no key.
+        Whether requests need no key.
     """
 
     name: str
@@ -45,7 +49,7 @@
     public: bool = False
 
     def service_for(self, draw: float) -> str:
-        """The service that a uniform `draw` from 0 to 1 falls on."""
+        """Choose a service by weight, from a uniform random `draw` in [0, 1)."""
         left = draw * sum(target.weight for target in self.targets)
         for target in self.targets:
             left -= target.weight
--- a/chestnutfall/routes/route_kind.py
+++ b/chestnutfall/routes/route_kind.py
@@ -1,4 +1,4 @@
-"""What may be repeated of a route's requests, and how they are answered."""
+"""Kinds of routes: whether requests may be repeated, and whether answers are streams."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RouteKind(Enum):
-    """The closed set of kinds."""
+    """The closed set of kinds; only idempotent ones may run a request twice."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -15,10 +15,10 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether a second run of the same request does no harm."""
+        """Whether the same request may run twice without harm."""
         return self in (RouteKind.IDEMPOTENT, RouteKind.RESUMABLE_STREAM)
 
     @property
     def streamed(self) -> bool:
-        """Whether the answer is a series of numbered server-sent events."""
+        """Whether the answer is a stream of numbered server-sent events."""
         return self in (RouteKind.STREAM, RouteKind.RESUMABLE_STREAM)
--- a/chestnutfall/routes/service_spec.py
+++ b/chestnutfall/routes/service_spec.py
@@ -9,7 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """One service; `engine` is None for plain services."""
+    """One service.
+
+    Attributes
+    ----------
+    name : str
+        Name that routes and upstreams refer to.
+    engine : EngineSpec or None
+        Capacity of its engines; None for a plain service.
+    """
 
     name: str
     engine: EngineSpec | None
--- a/chestnutfall/routes/weighted_service.py
+++ b/chestnutfall/routes/weighted_service.py
@@ -1,4 +1,4 @@
-"""One share of a split route."""
+"""A target of a route with its weight."""
 
 from __future__ import annotations
 
@@ -7,7 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A service and its weight among the route's others."""
+    """A service that gets a share of a route's requests.
+
+    Attributes
+    ----------
+    service : str
+        Name of the service.
+    weight : float
+        Share relative to the weights of the route's other services; 0 for no requests.
+    """
 
     service: str
     weight: float
--- a/chestnutfall/tests/test_organisations.py
+++ b/chestnutfall/tests/test_organisations.py
@@ -106,7 +106,7 @@
         document = DocumentJson().decode(_document(*tenants))
         self.assertEqual(list(check_document(document)), [])
         table = RouteTable(document)
-        holder = table.holder(key_digest("office9999-2"))
+        holder = table.organisation_by_key(key_digest("office9999-2"))
         assert holder is not None
         self.assertEqual(holder.name, "office9999")
 
--- a/chestnutfall/tests/test_routes.py
+++ b/chestnutfall/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and prefix, and what makes a document invalid."""
+"""Route lookup by host and path prefix, and the validity of documents."""
 
 from __future__ import annotations
 
