--- a/chestnutfall/config/__init__.py
+++ b/chestnutfall/config/__init__.py
@@ -1,5 +1,5 @@
-"""The office's configuration: layers, merged sites, typed entries, validation.
+"""Configuration: layers, merged sites, typed entries and validation.
 
-Nothing is imported here: a program loads only the modules that it names, since the libraries of
-the others would double the time that it takes to start.
+This package imports nothing, so that a program loads only the modules it uses; the libraries of
+the others would double its start time.
 """
--- a/chestnutfall/config/adapter.py
+++ b/chestnutfall/config/adapter.py
@@ -1,4 +1,4 @@
-"""A named adapter and its versions."""
+"""Configuration of an adapter and its versions."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 @dataclass(frozen=True, config=_STRICT)
 class Adapter:
-    """One adapter.
+    """Configuration of one LoRA adapter.
 
     Attributes
     ----------
     service : str
         Name of the engine service that runs it.
     versions : dict of str to str
-        Content digest of each version; an accepted digest never changes.
+        Content digest by version; the digest of an accepted version never changes.
     default_version : str or None
-        Version for requests that name none; without it such requests are refused.
+        Version for requests that name none; when None, such requests are refused.
     non_idempotent : bool
         Whether its requests must run at most once.
     """
@@ -35,6 +35,9 @@
     non_idempotent: bool = False
 
     def engine_name(self, name: str, version: str) -> str:
-        """Name on an engine: adapter, version and content, so no other content can answer."""
+        """Return the adapter's name on engines, with version and content digest.
+
+        The digest ensures that only an engine with this content answers under the name.
+        """
         digest = self.versions[version].removeprefix("sha256:")
         return f"{name}@{version}+{digest[:ENGINE_DIGEST_CHARS]}"
--- a/chestnutfall/config/caller.py
+++ b/chestnutfall/config/caller.py
@@ -1,4 +1,4 @@
-"""Who may ask for what."""
+"""Configuration of a caller: its key, grants and limits."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 ALL = "*"
 BURST_S = 1.0
-"""Requests of this long may come at once."""
+"""A caller may send the requests of this many seconds of its rate at once."""
 
 
 @dataclass(frozen=True, config=ConfigDict(extra="forbid"))
 class Caller:
-    """One caller.
+    """Configuration of one caller.
 
     Attributes
     ----------
     key_sha256 : str
         Hash of its bearer key; the key itself is stored nowhere.
     adapters, services : tuple of str
-        Adapters and plain services it may reach; `*` for all.
+        Names of the adapters and plain services it may use; `*` grants all.
     highest_class : PriorityClass
-        Most urgent class it may ask for, and the one it gets if it asks for none.
+        Most urgent class it may ask for, and the default when it asks for none.
     rate_per_s : float
-        Requests a second through all gateways together.
+        Rate limit, in requests a second through all gateways together.
     concurrency : int
-        Requests at once through each gateway.
+        Most requests in progress at each gateway.
     """
 
     key_sha256: Sha256Hex
@@ -42,15 +42,15 @@
     concurrency: Annotated[int, Field(ge=1, le=100_000)] = 100
 
     def as_organisation(self, name: str) -> Organisation:
-        """The caller as quotas are kept for it."""
+        """Return the organisation, named `name`, under which the caller's quota is kept."""
         burst = max(self.rate_per_s * BURST_S, 1.0)
         quota = Quota(QuotaUnit.REQUESTS, self.rate_per_s, burst)
         return Organisation(name, (self.key_sha256,), None, quota)
 
     def may_use_adapter(self, name: str) -> bool:
-        """Whether it may ask for the adapter `name`."""
+        """Return whether the caller may use the adapter `name`."""
         return ALL in self.adapters or name in self.adapters
 
     def may_use_service(self, name: str) -> bool:
-        """Whether it may reach the plain service `name`."""
+        """Return whether the caller may use the plain service `name`."""
         return ALL in self.services or name in self.services
--- a/chestnutfall/config/content_digest.py
+++ b/chestnutfall/config/content_digest.py
@@ -1,4 +1,4 @@
-"""A digest of a whole document that one changed entry updates."""
+"""Incremental digest of a configuration."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 class ContentDigest:
     """Sum of the hashes of all entries, modulo 2**256.
 
-    It finds faults, not forgers: two hosts with the same entries have the same digest whatever
-    way they came to them, and a changed entry costs one hash instead of the whole document's.
+    It detects faults, not forgery. Hosts with the same entries have the same digest, in whatever
+    order the changes came; a changed entry costs one hash instead of a hash of the whole document.
     """
 
     def __init__(self) -> None:
         self._sum = 0
 
     def add(self, section: str, name: str, entry: Any) -> None:
-        """Count an entry in."""
+        """Add the hash of an entry."""
         self._sum = (self._sum + _entry_hash(section, name, entry)) % _MODULUS
 
     def remove(self, section: str, name: str, entry: Any) -> None:
-        """Count an entry out."""
+        """Subtract the hash of an entry that was added with the same content."""
         self._sum = (self._sum - _entry_hash(section, name, entry)) % _MODULUS
 
     def hex(self) -> str:
-        """The digest as 64 hexadecimal characters."""
+        """Return the digest as 64 hexadecimal characters."""
         return f"{self._sum:064x}"
 
 
--- a/chestnutfall/config/layered_config.py
+++ b/chestnutfall/config/layered_config.py
@@ -1,4 +1,4 @@
-"""The base document and the overlay of each site."""
+"""Base configuration and the overlays of sites."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 
 
 def site_layer(site: str) -> str:
-    """Name of the layer of `site`."""
+    """Return the name of the overlay layer of `site`."""
     return f"{_SITE_PREFIX}{site}"
 
 
 def check_patch(layer: str, patch: Any) -> Iterator[Finding]:
-    """Yield what makes `patch` unfit for `layer`.
+    """Yield a finding for each reason why `patch` cannot be applied to `layer`.
 
-    A document is an object of sections, a section an object of named entries; so the effect of a
-    change can be worked out from the entries it names.
+    A layer is an object of sections, and a section an object of named entries, so that the effect
+    of a change can be computed from the entries it names.
     """
     if layer != BASE_LAYER and not layer.startswith(_SITE_PREFIX):
         yield Finding(layer, "", f"layer must be {BASE_LAYER!r} or {_SITE_PREFIX}NAME")
@@ -49,11 +49,16 @@
 
 
 class LayeredConfig:
-    """All layers as accepted.
+    """The base layer and the overlay of each site, as accepted.
 
-    The base changes by merge patches (RFC 7396). An overlay is itself such a patch and may hold
-    null, which a patch of it could not express; so a change of an overlay gives the whole new
-    entry: an object or null to merge over the base's entry, `{}` for no overlay.
+    The base is changed by merge patches (RFC 7396). An overlay is itself such a patch and may hold
+    null, which a patch of an overlay could not express. A change of an overlay therefore gives the
+    complete new entry: an object or null to merge over the base's entry, or `{}` for no overlay.
+
+    Attributes
+    ----------
+    layers : dict
+        Entries by layer, section and name.
     """
 
     def __init__(self, layers: dict[str, Any] | None = None) -> None:
@@ -62,11 +67,14 @@
 
     @property
     def sites(self) -> tuple[str, ...]:
-        """Data centres that the base names."""
+        """Names of all data centres, sorted; they are the entries of the section `sites`."""
         return tuple(sorted(self.layers[BASE_LAYER].get("sites", {})))
 
     def copy_for(self, patches: dict[str, Any]) -> LayeredConfig:
-        """A copy to try `patches` on; whatever they do not touch is shared with this one."""
+        """Return a copy on which `patches` can be applied without a change of this one.
+
+        Sections that the patches do not touch are shared between the two.
+        """
         layers = dict(self.layers)
         for layer, patch in patches.items():
             layers[layer] = dict(layers.get(layer, {}))
@@ -75,7 +83,7 @@
         return LayeredConfig(layers)
 
     def apply(self, patches: dict[str, Any]) -> Touched:
-        """Merge `patches`, by layer, and return the entries they touch."""
+        """Apply patches, given by layer; return section and name of each entry they touch."""
         touched: set[tuple[str, str]] = set()
         for layer, patch in patches.items():
             document = self.layers.setdefault(layer, {})
@@ -90,7 +98,10 @@
         return frozenset(touched)
 
     def merged_entry(self, site: str, section: str, name: str) -> Any:
-        """The entry in force at `site`; None when there is none."""
+        """Return the entry in force at `site`: the base's with the overlay merged over it.
+
+        None when there is no such entry, or the overlay removes it.
+        """
         entry = self.layers[BASE_LAYER].get(section, {}).get(name)
         overlay = self.layers.get(site_layer(site), {}).get(section, {})
         if name not in overlay:
@@ -100,7 +111,7 @@
         return json_merge_patch.merge(copy.deepcopy(entry or {}), overlay[name])
 
     def names(self, site: str) -> Iterator[tuple[str, str]]:
-        """Yield section and name of every entry of `site`."""
+        """Yield section and name of every entry that the base or the overlay of `site` has."""
         seen: dict[tuple[str, str], None] = {}
         for layer in (BASE_LAYER, site_layer(site)):
             for section, entries in self.layers.get(layer, {}).items():
--- a/chestnutfall/config/limits.py
+++ b/chestnutfall/config/limits.py
@@ -1,4 +1,4 @@
-"""Bounds on what one request or one office may take."""
+"""Limits on requests, engines and loads from the weight store."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 @dataclass(frozen=True, config=ConfigDict(extra="forbid"))
 class Limits:
-    """Bounds, the same for every caller.
+    """Limits that are the same for every caller.
 
     Attributes
     ----------
     request_ms : int
-        Longest a request may take when its caller sets no deadline.
+        Time until an answer must begin; the default and the upper bound of a caller's timeout.
     loads_per_s, loads_at_once : float, int
-        Budget of the weight store.
+        Most loads from the weight store a second, and at the same time, over all engines.
     claim_retention_ms : int
-        How long a claim is remembered.
+        How long the claim of an `Idempotency-Key` is kept.
     queue_per_engine : int
-        Requests that may wait for one engine.
+        Most requests that wait for one engine.
     running_per_engine : int
-        Requests that one engine may run at once.
+        Most requests that one engine runs at once.
     """
 
     request_ms: Annotated[int, Field(ge=100, le=86_400_000)] = 60_000
--- a/chestnutfall/config/merge_diff.py
+++ b/chestnutfall/config/merge_diff.py
@@ -1,4 +1,4 @@
-"""The merge patch that leads from one document to another."""
+"""Difference of two JSON documents as a merge patch."""
 
 from __future__ import annotations
 
--- a/chestnutfall/config/operator.py
+++ b/chestnutfall/config/operator.py
@@ -1,4 +1,4 @@
-"""Who may change the configuration."""
+"""Operators and their roles."""
 
 from __future__ import annotations
 
@@ -11,21 +11,29 @@
 
 
 class Role(Enum):
-    """What an operator may do; each includes the one before."""
+    """What an operator may do; each role includes the ones before it."""
 
     AUDITOR = "auditor"
     OPERATOR = "operator"
     ADMIN = "admin"
 
     def includes(self, other: Role) -> bool:
-        """Whether this role may do what `other` may."""
+        """Return whether this role may do everything that `other` may."""
         order = list(Role)
         return order.index(self) >= order.index(other)
 
 
 @dataclass(frozen=True, config=ConfigDict(extra="forbid"))
 class Operator:
-    """One operator, known by the hash of a key."""
+    """Configuration of one operator.
+
+    Attributes
+    ----------
+    key_sha256 : str
+        Hash of the operator's key; the key itself is stored nowhere.
+    role : Role
+        What the operator may do.
+    """
 
     key_sha256: Sha256Hex
     role: Role = Role.AUDITOR
--- a/chestnutfall/config/policy.py
+++ b/chestnutfall/config/policy.py
@@ -1,4 +1,4 @@
-"""Knobs of the placement policy."""
+"""Parameters of the placement policy."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     Attributes
     ----------
     aging_ms : int
-        Waiting this long lifts a request by one priority class.
+        Time in the queue that raises a request by one priority class; it repeats.
     drain_after_ms : int
-        When a request has waited this long and every slot is pinned, one slot takes no new work
-        until it is free.
+        When a request has waited this long and every adapter slot is pinned, one slot takes no
+        new work until it is free.
     load_backoff_ms : int
-        Pause after a failed load of an adapter, doubled with each failure.
+        Pause after a failed load of an adapter; it doubles with each further failure.
     """
 
     aging_ms: Annotated[int, Field(ge=1)] = 30_000
--- a/chestnutfall/config/priority_class.py
+++ b/chestnutfall/config/priority_class.py
@@ -1,4 +1,4 @@
-"""Classes of urgency."""
+"""Priority classes of requests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class PriorityClass(Enum):
-    """From what goes first to what may wait until the night."""
+    """The closed set of priority classes, the most urgent first."""
 
     URGENT = "urgent"
     NORMAL = "normal"
--- a/chestnutfall/config/service.py
+++ b/chestnutfall/config/service.py
@@ -1,4 +1,4 @@
-"""A group of upstreams that do the same work."""
+"""Configuration of a service, a group of upstreams that do the same work."""
 
 from __future__ import annotations
 
@@ -18,18 +18,19 @@
     Attributes
     ----------
     kind : {"engine", "plain"}
+        Whether its upstreams are engines or plain HTTP services.
     announce_key_sha256 : str
-        Hash of the key that its upstreams announce themselves with.
+        Hash of the bearer key in the announcements of its upstreams.
     base_model : str
         Base model of its engines; empty for plain services.
     path : str
         Path prefix under which callers reach a plain service.
-    non_idempotent_methods : list of str
+    non_idempotent_methods : tuple of str
         Methods of a plain service that must run at most once.
     key_required : bool
         Whether non-idempotent requests without an `Idempotency-Key` are refused.
     silent_ms : int
-        How long an answer in progress may be silent before its connection counts as dead.
+        Longest time without data in an answer before its connection counts as dead.
     """
 
     kind: Literal["engine", "plain"]
--- a/chestnutfall/config/site_config.py
+++ b/chestnutfall/config/site_config.py
@@ -1,4 +1,4 @@
-"""The configuration in force at one site."""
+"""Merged configuration of one site."""
 
 from __future__ import annotations
 
@@ -10,10 +10,17 @@
 
 
 class SiteConfig:
-    """Merged entries of one site with their digest.
+    """Merged entries of one site, with their digest.
 
-    Kept up to date entry by entry: merging 3,000 adapters anew for each change would cost as
-    much as the change's whole way through the log.
+    Updates are incremental, since merging 3,000 adapters again for each change would cost as much
+    as the replication of the change through the log.
+
+    Attributes
+    ----------
+    site : str
+        Name of the data centre.
+    entries : dict
+        Merged entries by section and name, not validated here.
     """
 
     def __init__(self, site: str, layers: LayeredConfig) -> None:
@@ -23,7 +30,7 @@
         self.update(layers, layers.names(site))
 
     def update(self, layers: LayeredConfig, touched: Iterable[tuple[str, str]]) -> None:
-        """Take over the touched entries from `layers`."""
+        """Merge the touched entries again from `layers`, and update the digest."""
         for section, name in touched:
             entries = self.entries.setdefault(section, {})
             before = entries.pop(name, None)
@@ -37,7 +44,10 @@
     def entries_with(
         self, layers: LayeredConfig, touched: Iterable[tuple[str, str]]
     ) -> dict[str, dict[str, Any]]:
-        """What the entries would be under `layers`; this site is left as it is."""
+        """Return the entries as they would be after an update from `layers`.
+
+        This object is not changed, so that a candidate can be validated before it is accepted.
+        """
         found = dict(self.entries)
         for section, name in touched:
             if found.get(section) is self.entries.get(section):
@@ -50,5 +60,5 @@
 
     @property
     def digest(self) -> str:
-        """Digest of all entries."""
+        """Digest of all entries, as 64 hexadecimal characters."""
         return self._digest.hex()
--- a/chestnutfall/config/typed_config.py
+++ b/chestnutfall/config/typed_config.py
@@ -1,4 +1,4 @@
-"""Checked entries of one site, as the data path uses them."""
+"""Typed configuration of one site, for the data path."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .service import Service
 from .upstream_entry import UpstreamEntry
 
-DEFAULT = "default"
+DEFAULT_ENTRY = "default"
 ENTRY_TYPES: dict[str, TypeAdapter[Any]] = {
     "adapters": TypeAdapter(Adapter),
     "callers": TypeAdapter(Caller),
@@ -29,7 +29,10 @@
 
 
 class TypedConfig:
-    """Entries by section and name, and callers by key."""
+    """Typed entries of one site by section and name, and callers by key.
+
+    Sections without a type, such as `sites`, are left out.
+    """
 
     def __init__(self) -> None:
         self._entries: dict[str, dict[str, Any]] = {section: {} for section in ENTRY_TYPES}
@@ -38,7 +41,7 @@
     def update(
         self, entries: dict[str, dict[str, Any]], touched: Iterable[tuple[str, str]]
     ) -> None:
-        """Take over the touched ones of the merged `entries`, which were validated before."""
+        """Convert the touched ones of the merged `entries`, which must be valid already."""
         for section, name in touched:
             if section not in ENTRY_TYPES:
                 continue
@@ -75,24 +78,24 @@
 
     @property
     def limits(self) -> Limits:
-        """The limits in force."""
-        return self._entries["limits"].get(DEFAULT) or Limits()
+        """The limits in force; defaults when none are configured."""
+        return self._entries["limits"].get(DEFAULT_ENTRY) or Limits()
 
     @property
     def policy(self) -> Policy:
-        """The policy in force."""
-        return self._entries["policy"].get(DEFAULT) or Policy()
+        """The placement policy in force; defaults when none is configured."""
+        return self._entries["policy"].get(DEFAULT_ENTRY) or Policy()
 
     def is_drained(self, upstream: str) -> bool:
-        """Whether operators want no new work on `upstream`."""
+        """Return whether operators drain `upstream`, so that it gets no new work."""
         entry = self._entries["upstreams"].get(upstream)
         return entry is not None and entry.drain
 
     def caller_by_key(self, key: str) -> str | None:
-        """Name of the caller with the bearer key `key`."""
+        """Return the name of the caller with this bearer key; None for an unknown key."""
         return self._callers_by_key.get(key_hash(key))
 
 
 def key_hash(key: str) -> str:
-    """Hash by which a key is known."""
+    """Return the SHA-256 of a key, in hexadecimal, as in the `key_sha256` of entries."""
     return hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
--- a/chestnutfall/config/upstream_entry.py
+++ b/chestnutfall/config/upstream_entry.py
@@ -1,4 +1,4 @@
-"""What operators want of one upstream."""
+"""Operators' settings for one upstream."""
 
 from __future__ import annotations
 
@@ -8,6 +8,12 @@
 
 @dataclass(frozen=True, config=ConfigDict(extra="forbid"))
 class UpstreamEntry:
-    """One upstream by its announced name; `drain` sends it no new work."""
+    """Settings for the upstream with the entry's name, which is its announced name.
+
+    Attributes
+    ----------
+    drain : bool
+        Whether the upstream gets no new work.
+    """
 
     drain: bool = False
--- a/chestnutfall/config/validation.py
+++ b/chestnutfall/config/validation.py
@@ -1,4 +1,4 @@
-"""Whether the merged configuration of a site can be in force."""
+"""Validation of the merged configuration of a site."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from .typed_config import ENTRY_TYPES
 
 Entries = dict[str, dict[str, Any]]
-Place = tuple[str, str]
+EntryKey = tuple[str, str]
 
 
 def validate_site(
-    site: str, entries: Entries, before: Entries, touched: Iterable[Place]
+    site: str, entries: Entries, before: Entries, touched: Iterable[EntryKey]
 ) -> list[Finding]:
-    """Return everything wrong with the merged `entries` of `site`.
+    """Return every finding on the merged `entries` of `site`; empty when they are valid.
 
-    Only what a change touches, and what refers to that, is looked at: all else was valid before
-    and is the same.
+    Only the touched entries, and those that refer to one of them, are checked: all others were
+    valid before and have not changed.
 
     Parameters
     ----------
     entries, before : dict
-        Sections of the candidate and of the configuration now in force.
+        Entries by section and name, of the candidate and of the configuration in force.
     touched : iterable of (section, name)
-        Entries that differ.
+        Entries that differ between the two.
     """
     findings: list[Finding] = []
-    typed: dict[Place, Any] = {}
-    places = list(touched)
-    for section, name in _with_referrers(entries, places):
+    typed: dict[EntryKey, Any] = {}
+    keys = list(touched)
+    for section, name in _with_referrers(entries, keys):
         raw = entries.get(section, {}).get(name)
         if section not in ENTRY_TYPES or raw is None:
             continue
@@ -44,26 +44,26 @@
         else:
             findings.extend(checked.error)
     for (_, name), entry in typed.items():
-        findings.extend(_references(site, name, entry, entries))
-    findings.extend(_kept_digests(site, entries, before, places))
+        findings.extend(_reference_findings(site, name, entry, entries))
+    findings.extend(_changed_digest_findings(site, entries, before, keys))
     return findings
 
 
-def _with_referrers(entries: Entries, places: list[Place]) -> list[Place]:
-    """The touched places, and those whose validity depends on one of them."""
-    found = dict.fromkeys(places)
-    services = {name for section, name in places if section == "services"}
+def _with_referrers(entries: Entries, keys: list[EntryKey]) -> list[EntryKey]:
+    """Return the touched entries, and those whose validity depends on one of them."""
+    found = dict.fromkeys(keys)
+    services = {name for section, name in keys if section == "services"}
     if services:
         for name, raw in entries.get("adapters", {}).items():
             if isinstance(raw, dict) and raw.get("service") in services:
                 found["adapters", name] = None
-    gone = {(s, n) for s, n in places if n not in entries.get(s, {})}
+    gone = {(s, n) for s, n in keys if n not in entries.get(s, {})}
     if any(section in ("adapters", "services") for section, _ in gone):
         found.update((("callers", name), None) for name in entries.get("callers", {}))
     return list(found)
 
 
-def _references(site: str, name: str, entry: Any, entries: Entries) -> Iterator[Finding]:
+def _reference_findings(site: str, name: str, entry: Any, entries: Entries) -> Iterator[Finding]:
     match entry:
         case Adapter():
             yield from _adapter_findings(site, f"/adapters/{name}", entry, entries)
@@ -77,8 +77,10 @@
     site: str, pointer: str, adapter: Adapter, entries: Entries
 ) -> Iterator[Finding]:
     services = entries.get("services", {})
-    if _get(services.get(adapter.service), "kind") != "engine":
-        engines = sorted(name for name, raw in services.items() if _get(raw, "kind") == "engine")
+    if _field_of(services.get(adapter.service), "kind") != "engine":
+        engines = sorted(
+            name for name, raw in services.items() if _field_of(raw, "kind") == "engine"
+        )
         rule = f"must name an engine service; allowed: {engines}"
         yield Finding(site, f"{pointer}/service", rule, adapter.service)
     if adapter.default_version is not None and adapter.default_version not in adapter.versions:
@@ -93,7 +95,7 @@
                 rule = f"grants {section} that do not exist"
                 yield Finding(site, f"/callers/{name}/{section}", rule, wanted)
     for other, raw in entries.get("callers", {}).items():
-        if other != name and _get(raw, "key_sha256") == caller.key_sha256:
+        if other != name and _field_of(raw, "key_sha256") == caller.key_sha256:
             rule = f"the caller {other!r} has the same key"
             yield Finding(site, f"/callers/{name}/key_sha256", rule)
 
@@ -103,22 +105,22 @@
     if not service.path.startswith("/"):
         yield Finding(site, pointer, "a plain service needs a path that begins with /")
     for other, raw in entries.get("services", {}).items():
-        if other != name and _get(raw, "path") == service.path:
+        if other != name and _field_of(raw, "path") == service.path:
             yield Finding(site, pointer, f"the service {other!r} has this path")
 
 
-def _get(raw: Any, field: str) -> Any:
+def _field_of(raw: Any, field: str) -> Any:
     return raw.get(field) if isinstance(raw, dict) else None
 
 
-def _kept_digests(
-    site: str, entries: Entries, before: Entries, places: list[Place]
+def _changed_digest_findings(
+    site: str, entries: Entries, before: Entries, keys: list[EntryKey]
 ) -> Iterator[Finding]:
-    # A version that changes its content under the same name can't be audited. Symptom: two
-    # callers that named the same version got answers from different weights.
-    for section, name in places:
-        old = _get(before.get(section, {}).get(name), "versions")
-        new = _get(entries.get(section, {}).get(name), "versions")
+    # Without this rule a version could change its content under the same name, so that two callers
+    # of one version get answers from different weights, and no audit can tell which.
+    for section, name in keys:
+        old = _field_of(before.get(section, {}).get(name), "versions")
+        new = _field_of(entries.get(section, {}).get(name), "versions")
         if section != "adapters" or not isinstance(old, dict) or not isinstance(new, dict):
             continue
         for version, digest in old.items():
--- a/chestnutfall/control/control_service.py
+++ b/chestnutfall/control/control_service.py
@@ -12,7 +12,7 @@
 from ..config.layered_config import BASE_LAYER, site_layer
 from ..config.limits import Limits
 from ..config.site_config import SiteConfig
-from ..config.typed_config import DEFAULT, ENTRY_TYPES
+from ..config.typed_config import DEFAULT_ENTRY, ENTRY_TYPES
 from ..consensus import Busy, LeadershipLost, NotLeader, Replica, StorageFailed
 from ..quota.messages import AskQuota, UsedQuota, WasShort
 from .claim import ClaimStatus
@@ -186,7 +186,7 @@
         return outcome
 
     def _limits(self) -> Limits:
-        raw = self._state.layers.layers[BASE_LAYER].get("limits", {}).get(DEFAULT)
+        raw = self._state.layers.layers[BASE_LAYER].get("limits", {}).get(DEFAULT_ENTRY)
         return Limits() if raw is None else ENTRY_TYPES["limits"].validate_python(raw)
 
 
--- a/properties/safeguards/control_mutants.py
+++ b/properties/safeguards/control_mutants.py
@@ -65,7 +65,7 @@
     Mutant(
         "accepted digest changed",
         "chestnutfall/config/validation.py",
-        "    findings.extend(_kept_digests(site, entries, before, places))",
+        "    findings.extend(_changed_digest_findings(site, entries, before, keys))",
         "    pass",
         _CONFIG_TEST,
     ),
@@ -79,8 +79,8 @@
     Mutant(
         "what refers to a changed entry not looked at",
         "chestnutfall/config/validation.py",
-        "    for section, name in _with_referrers(entries, places):",
-        "    for section, name in places:",
+        "    for section, name in _with_referrers(entries, keys):",
+        "    for section, name in keys:",
         _CONFIG_TEST,
     ),
     Mutant(
