--- a/chestnutfall/control/caller_quotas.py
+++ b/chestnutfall/control/caller_quotas.py
@@ -10,7 +10,7 @@
 from ..quota.messages import AnswerQuota, AskQuota, QuotaLevel, QuotaNews, UsedQuota, WasShort
 from ..quota.quota_ledger import QuotaLedger
 from ..routes import Organisation
-from ..settings.quota_bounds import OFFICE
+from ..settings.quota_bounds import CALLER_QUOTA_BOUNDS
 from .control_state import ControlState
 
 NO_REVISION = -1
@@ -26,7 +26,7 @@
 
     def __init__(self, state: ControlState, clock: Clock) -> None:
         self._state = state
-        self._ledger = QuotaLedger(OFFICE, clock)
+        self._ledger = QuotaLedger(CALLER_QUOTA_BOUNDS, clock)
         self._revision = NO_REVISION
 
     def record_use(self, msg: UsedQuota | WasShort) -> QuotaNews:
--- a/chestnutfall/platform/node_file.py
+++ b/chestnutfall/platform/node_file.py
@@ -9,7 +9,7 @@
 
 from ..settings.fleet_settings import FleetSettings
 from ..settings.host_port import split_address
-from ..settings.quota_bounds import STRICT, QuotaBounds
+from ..settings.quota_bounds import STRICT_QUOTA_BOUNDS, QuotaBounds
 from ..settings.repeat_bounds import RepeatBounds
 
 PATH_VARIABLE = "CHESTNUTFALL_NODE_FILE"
@@ -63,9 +63,9 @@
 def _quota_bounds(bounds: dict[str, Any]) -> QuotaBounds:
     """The bounds on quotas, which deployments without organisations don't name."""
     if "quota_window_s" not in bounds:
-        return STRICT
+        return STRICT_QUOTA_BOUNDS
     return QuotaBounds(
         window_ms=int(bounds["quota_window_s"] * 1000),
-        over=float(bounds.get("quota_over", STRICT.over)),
-        slack=float(bounds.get("quota_slack", STRICT.slack)),
+        excess_ratio=float(bounds.get("quota_over", STRICT_QUOTA_BOUNDS.excess_ratio)),
+        slack=float(bounds.get("quota_slack", STRICT_QUOTA_BOUNDS.slack)),
     )
--- a/chestnutfall/programs/gateway.py
+++ b/chestnutfall/programs/gateway.py
@@ -29,7 +29,7 @@
 from ..quota.quota_enforcer import QuotaEnforcer
 from ..routing import ClaimClient, Dispatcher
 from ..settings.gateway_settings import GatewaySettings
-from ..settings.quota_bounds import OFFICE
+from ..settings.quota_bounds import CALLER_QUOTA_BOUNDS
 from ..signals import UnreadHeaders
 from ..signals.known_backoffs import KnownBackoffs
 from ..signals.known_signals import KnownSignals
@@ -111,7 +111,9 @@
             settings.data_centre,
         )
         line = ControlQuotaLine(self._client, self._clock)
-        self._quotas = QuotaEnforcer(line, self._gateways, OFFICE, self._clock, random.Random())
+        self._quotas = QuotaEnforcer(
+            line, self._gateways, CALLER_QUOTA_BOUNDS, self._clock, random.Random()
+        )
         line.on_news = self._quotas.apply
         dispatcher = Dispatcher(
             self._agent,
--- a/chestnutfall/settings/__init__.py
+++ b/chestnutfall/settings/__init__.py
@@ -1,5 +1,5 @@
-"""Settings of the programs: JSON files checked as a whole.
+"""Settings of the programs, from JSON files that are validated completely at start.
 
-Nothing is imported here: a program loads only the modules that it names, since the libraries of
-the others would double the time that it takes to start.
+This package imports nothing, so that a program loads only the modules it uses; the libraries of
+the others would double its start time.
 """
--- a/chestnutfall/settings/address.py
+++ b/chestnutfall/settings/address.py
@@ -1,4 +1,4 @@
-"""IP and port as settings write them."""
+"""Type of addresses in settings: an IPv4 address and a port."""
 
 from __future__ import annotations
 
@@ -20,3 +20,4 @@
 
 
 Address = Annotated[str, AfterValidator(_checked)]
+"""An address like `127.0.1.1:8080`; host names are not allowed."""
--- a/chestnutfall/settings/controller_settings.py
+++ b/chestnutfall/settings/controller_settings.py
@@ -14,7 +14,15 @@
 
 @dataclass(frozen=True, config=ConfigDict(extra="forbid"))
 class MemberSettings:
-    """A controller of the first membership."""
+    """A controller of the first membership.
+
+    Attributes
+    ----------
+    name : str
+        Name of the controller's host.
+    address : Address
+        Where the other controllers reach it.
+    """
 
     name: str
     address: Address
@@ -22,20 +30,24 @@
 
 @dataclass(frozen=True, config=ConfigDict(extra="forbid"))
 class ControllerSettings:
-    """One controller.
+    """Settings of one controller.
 
     Attributes
     ----------
     name : str
         Name of this controller's host.
     listen : Address
-        For other controllers, gateways and operators.
+        Where other controllers, gateways and operators connect.
     data_folder : str
-        The only folder it writes to.
+        The only folder that the controller writes to.
     first_members : tuple of MemberSettings
-        Membership used by `--bootstrap`, the same on all of them.
+        Membership that `--bootstrap` starts with; the same on all of these controllers.
     admin_key_sha256 : str
-        Hash of the key that always has the role admin, for the first change.
+        Hash of the key that always has the role admin, so that a first change is possible.
+    tls : TlsSettings or None
+        Files for mutual TLS; None for connections without TLS.
+    observability : ObservabilitySettings
+        Outputs of logs, metrics and traces.
     """
 
     name: Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,31}$")]
--- a/chestnutfall/settings/engine_settings.py
+++ b/chestnutfall/settings/engine_settings.py
@@ -12,22 +12,32 @@
 
 @dataclass(frozen=True, config=ConfigDict(extra="forbid"))
 class EngineSettings:
-    """One stand-in engine.
+    """Settings of one stand-in engine.
 
     Attributes
     ----------
+    name, service, data_centre, base_model : str
+        What the engine announces of itself.
+    listen : Address
+        Where gateways connect.
     announce_to : tuple of Address
         Announcement listeners of the gateways.
     announce_key_file : str
         File with the bearer key of its service.
     fencing : {"checked", "ignored"}
-        Whether it refuses orders with an old fencing number.
+        Whether it refuses orders with an old fencing token, or runs every order.
     slots : int
-        Adapters it can hold.
+        Number of adapters that it can hold.
     load_ms, step_ms : int
-        Time of one load, and of one step of the batch.
+        Duration of one load, and of one step of the batch.
     batch : int
         Most requests in one step.
+    announce_ms : int
+        Time between two announcements.
+    ttl_ms : int
+        How long gateways take an announcement as valid.
+    seed : int
+        Accepted, but without effect.
     """
 
     name: str
--- a/chestnutfall/settings/fleet_settings.py
+++ b/chestnutfall/settings/fleet_settings.py
@@ -1,4 +1,4 @@
-"""Settings that the platform's node file holds, in the product's own terms."""
+"""Settings of a daemon, as read from the platform's node file."""
 
 from __future__ import annotations
 
@@ -10,30 +10,31 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """One daemon and what it must keep to.
+    """Settings of one daemon, a gateway or a controller.
 
     Attributes
     ----------
     name, data_centre, ip : str
-        This host.
+        Name, data centre and IP of this host.
     peer_port, metrics_port : int
-        Ports of the system's own protocol and of the metrics.
+        Ports of the system's internal protocol and of the metrics.
     controllers : tuple of str
-        Addresses, for the system's own protocol, of controllers to begin with.
+        Addresses of known controllers, for the internal protocol.
     caller_listen, ready_listen, control_listen : str
-        Where it listens; empty for what it does not serve.
+        Where it listens for callers, for readiness checks, and for operators and upstreams;
+        empty for what it does not serve.
     first_start : bool
-        Whether the whole system starts for the first time, on empty disks.
+        Whether the system starts for the first time, with empty disks on all hosts.
     data_folder : str
-        Folder on the host's disk; empty without one.
+        Folder on the host's disk; empty when there is none.
     tolerated_losses : int
-        Controllers that may be lost at once.
+        Number of controllers that may fail at the same time.
     heartbeat_ms : int
-        How often upstreams announce themselves.
+        Time between two announcements of an upstream.
     grace_ms : int
-        Time from a request to stop until the process is killed.
+        Time from the stop signal until the process is killed.
     repeats : RepeatBounds
-        Bound on repeats, over all gateways.
+        Limit on repeated sends, over all gateways.
     quotas : QuotaBounds
         How far quotas may be exceeded, over all gateways.
     """
@@ -57,5 +58,5 @@
 
     @property
     def peer_address(self) -> str:
-        """Where other daemons reach this one."""
+        """Address at which other daemons reach this one."""
         return f"{self.ip}:{self.peer_port}"
--- a/chestnutfall/settings/gateway_settings.py
+++ b/chestnutfall/settings/gateway_settings.py
@@ -14,28 +14,31 @@
 
 @dataclass(frozen=True, config=ConfigDict(extra="forbid"))
 class GatewaySettings:
-    """One gateway.
+    """Settings of one gateway.
 
     Attributes
     ----------
     name : str
-        Name of this entry host.
+        Name of this gateway's host.
     data_centre : str
         The site whose configuration is in force here.
     listen : Address
-        For callers.
+        Where callers connect.
     peer_listen : Address
-        For other gateways.
+        Where other gateways connect.
     announce_listen : Address
-        For announcements of upstreams.
+        Where upstreams send their announcements.
     controllers : tuple of Address
-        Controllers to ask for the first time.
+        Controllers for the first contact.
     config_lease_ms : int
-        How long it serves without a controller's word that its configuration is in force.
+        How long it serves without confirmation from a controller that its configuration is
+        in force.
     not_ready_ms : int
-        At a graceful stop: how long it says "not ready" before it refuses new requests.
-    engine_order_key_file : str or None
-        File with the bearer key for orders to engines.
+        At a graceful stop, how long it reports "not ready" before it refuses new requests.
+    tls : TlsSettings or None
+        Files for mutual TLS; None for connections without TLS.
+    observability : ObservabilitySettings
+        Outputs of logs, metrics and traces.
     """
 
     name: Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,31}$")]
--- a/chestnutfall/settings/observability_settings.py
+++ b/chestnutfall/settings/observability_settings.py
@@ -1,4 +1,4 @@
-"""Where logs, metrics and traces go."""
+"""Outputs of logs, metrics and traces."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 
 @dataclass(frozen=True, config=ConfigDict(extra="forbid"))
 class ObservabilitySettings:
-    """Outputs for the people on call.
+    """Outputs of logs, metrics and traces.
 
     Attributes
     ----------
     log_level : str
+        Least severe level that is logged.
     statsd : Address or None
-        UDP address of the statsd daemon.
+        UDP address of the statsd daemon; None sends no metrics.
     trace_file : str or None
-        File that gets one JSON line for each span.
+        File that gets one JSON line for each span; None for no traces.
     """
 
     log_level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
--- a/chestnutfall/settings/operator_settings.py
+++ b/chestnutfall/settings/operator_settings.py
@@ -11,7 +11,17 @@
 
 @dataclass(frozen=True, config=ConfigDict(extra="forbid"))
 class OperatorSettings:
-    """Where the controllers are, and the file with the operator's key."""
+    """Settings of the operators' command line.
+
+    Attributes
+    ----------
+    controllers : tuple of Address
+        Addresses of the controllers.
+    key_file : str
+        File with the operator's key.
+    tls : TlsSettings or None
+        Files for mutual TLS; None for connections without TLS.
+    """
 
     controllers: tuple[Address, ...]
     key_file: str
--- a/chestnutfall/settings/plain_settings.py
+++ b/chestnutfall/settings/plain_settings.py
@@ -10,7 +10,19 @@
 
 @dataclass(frozen=True, config=ConfigDict(extra="forbid"))
 class PlainSettings:
-    """One stand-in plain service."""
+    """Settings of one stand-in upstream of a plain service.
+
+    Attributes
+    ----------
+    name, service, data_centre : str
+        What the upstream announces of itself.
+    listen : Address
+        Where gateways connect.
+    announce_to : tuple of Address
+        Announcement listeners of the gateways.
+    announce_key_file : str
+        File with the bearer key of its service.
+    """
 
     name: str
     service: str
--- a/chestnutfall/settings/reading.py
+++ b/chestnutfall/settings/reading.py
@@ -1,4 +1,4 @@
-"""From a settings file to a checked data class."""
+"""Reading of settings files."""
 
 from __future__ import annotations
 
@@ -15,6 +15,14 @@
 T = TypeVar("T")
 
 
-def read_settings(kind: type[T], path: Path) -> Result[T, list[Finding]]:
-    """Read the settings file at `path` as a `kind`; all findings at once."""
-    return read_json(path).bind(lambda value: to_typed(TypeAdapter(kind), value, str(path)))
+def read_settings(settings_type: type[T], path: Path) -> Result[T, list[Finding]]:
+    """Read the settings file at `path` as a `settings_type`.
+
+    Returns
+    -------
+    Result
+        The settings, or all findings at once.
+    """
+    return read_json(path).bind(
+        lambda value: to_typed(TypeAdapter(settings_type), value, str(path))
+    )
--- a/chestnutfall/settings/repeat_bounds.py
+++ b/chestnutfall/settings/repeat_bounds.py
@@ -1,4 +1,4 @@
-"""The bound on repeats that all gateways keep together."""
+"""Limit on repeated sends, over all gateways."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RepeatBounds:
-    """Repeats allowed over all gateways, for each service: a part of the requests plus `slack`.
+    """Limit on the repeats in any window, for each service: `ratio * requests + slack`.
 
     Attributes
     ----------
     ratio : float
-        Repeats for each request of the window.
+        Allowed repeats for each request in the window.
     slack : float
-        Repeats in a window beyond that.
+        Further repeats that are allowed in a window.
     window_ms : int
-        Length of the window; the bound holds wherever it is laid.
+        Length of the window; the limit holds for a window that begins at any time.
     """
 
     ratio: float
--- a/chestnutfall/tests/fakes/forwarder_case.py
+++ b/chestnutfall/tests/fakes/forwarder_case.py
@@ -28,7 +28,7 @@
     ServiceSpec,
     WeightedService,
 )
-from ...settings.quota_bounds import STRICT
+from ...settings.quota_bounds import STRICT_QUOTA_BOUNDS
 from ...settings.repeat_bounds import RepeatBounds
 from .fake_upstreams import (
     FixedRoutes,
@@ -95,7 +95,9 @@
 
     def _quotas(self) -> QuotaEnforcer:
         self.quota_client = ScriptedQuotaClient()
-        return QuotaEnforcer(self.quota_client, lambda: 1, STRICT, self.clock, self.rng)
+        return QuotaEnforcer(
+            self.quota_client, lambda: 1, STRICT_QUOTA_BOUNDS, self.clock, self.rng
+        )
 
     async def _serve(
         self, kind: RouteKind, script: tuple[Any, ...], attempts: int = 3, slack: float = 100
--- a/chestnutfall/tests/fakes/quota_office.py
+++ b/chestnutfall/tests/fakes/quota_office.py
@@ -162,4 +162,4 @@
         """Return the units that may be admitted in any window."""
         quota = self.organisation.quota
         in_window = quota.per_s * self.bounds.window_ms / 1000 + quota.burst
-        return in_window * (1 + self.bounds.over) + self.bounds.slack
+        return in_window * (1 + self.bounds.excess_ratio) + self.bounds.slack
--- a/chestnutfall/tests/fakes/signal_office.py
+++ b/chestnutfall/tests/fakes/signal_office.py
@@ -33,7 +33,7 @@
     ServiceSpec,
     WeightedService,
 )
-from ...settings.quota_bounds import OFFICE
+from ...settings.quota_bounds import CALLER_QUOTA_BOUNDS
 from ...settings.repeat_bounds import RepeatBounds
 from ...signals import AskedBackoff
 from .fake_upstreams import FixedRoutes, RecordedReply, ScriptedQuotaClient
@@ -188,7 +188,11 @@
         self.apis[name] = SignallingApi(self.upstreams, name, self.clock)
         self._forwarders[name] = Forwarder(
             FixedRoutes(_table(), self.clock),
-            Admission(QuotaEnforcer(ScriptedQuotaClient(), lambda: 1, OFFICE, self.clock, rng)),
+            Admission(
+                QuotaEnforcer(
+                    ScriptedQuotaClient(), lambda: 1, CALLER_QUOTA_BOUNDS, self.clock, rng
+                )
+            ),
             Repeats(
                 self._bounds,
                 lambda: len(self.gateways) or 1,
--- a/chestnutfall/tests/test_caller_quotas.py
+++ b/chestnutfall/tests/test_caller_quotas.py
@@ -22,7 +22,7 @@
 from ..quota.messages import AskQuota
 from ..quota.quota_enforcer import QuotaEnforcer
 from ..requests import Executed, Refusal
-from ..settings.quota_bounds import OFFICE
+from ..settings.quota_bounds import CALLER_QUOTA_BOUNDS
 
 GATEWAYS = 9
 PER_S = 100.0
@@ -53,7 +53,9 @@
 
     def _gateway(self) -> tuple[CallerLimits, QuotaEnforcer]:
         line = ControlQuotaLine(cast(ControlClient, self.client), self.clock)
-        enforcer = QuotaEnforcer(line, lambda: GATEWAYS, OFFICE, self.clock, random.Random(1))
+        enforcer = QuotaEnforcer(
+            line, lambda: GATEWAYS, CALLER_QUOTA_BOUNDS, self.clock, random.Random(1)
+        )
         line.on_news = enforcer.apply
         return CallerLimits(enforcer, self.clock), enforcer
 
@@ -76,13 +78,15 @@
             await self.clock.advance(0)
 
     def _most_in_window(self) -> int:
-        window = OFFICE.window_ms
+        window = CALLER_QUOTA_BOUNDS.window_ms
         return max(sum(at <= one < at + window for one in self.passed) for at in self.passed)
 
     async def test_all_gateways_together_let_through_the_rate_of_one(self) -> None:
         await self._send(1, 100)
         await self._send(12, 900)
-        bound = (PER_S * OFFICE.window_ms / 1000 + PER_S) * (1 + OFFICE.over)
+        bound = (PER_S * CALLER_QUOTA_BOUNDS.window_ms / 1000 + PER_S) * (
+            1 + CALLER_QUOTA_BOUNDS.excess_ratio
+        )
         self.assertLessEqual(self._most_in_window(), bound)
         self.assertGreaterEqual(len(self.passed), 0.95 * 13 * PER_S)
 
--- a/chestnutfall/tests/test_crash_monitor.py
+++ b/chestnutfall/tests/test_crash_monitor.py
@@ -23,7 +23,7 @@
 from ..forwarding.fleet_knowledge import FleetKnowledge
 from ..forwarding.recent_reports import RESEND_WITHIN_MS
 from ..platform.document_json import DocumentJson
-from ..settings.quota_bounds import STRICT
+from ..settings.quota_bounds import STRICT_QUOTA_BOUNDS
 from .fakes import FakeCluster
 from .fakes.taking_engines import TakingEngines
 from .test_fleet_leader import REPEATS
@@ -169,7 +169,7 @@
                 self.cluster.clock,
                 1000,
                 REPEATS,
-                STRICT,
+                STRICT_QUOTA_BOUNDS,
             )
             self.leaders[name] = leader
             self.tasks.append(asyncio.ensure_future(leader.run()))
--- a/chestnutfall/tests/test_fleet_leader.py
+++ b/chestnutfall/tests/test_fleet_leader.py
@@ -45,7 +45,7 @@
 from ..placement.engine_kind import EngineKind
 from ..placement.run_times import RunTimes
 from ..platform.document_json import DocumentJson
-from ..settings.quota_bounds import STRICT
+from ..settings.quota_bounds import STRICT_QUOTA_BOUNDS
 from ..settings.repeat_bounds import RepeatBounds
 from .fakes import FakeCluster
 from .fakes.taking_engines import TakingEngines
@@ -82,7 +82,14 @@
             assert isinstance(state, ControlState)
             clock = self.cluster.clock
             leader = FleetLeader(
-                replica, state, DocumentJson(), self.engines, clock, 1000, REPEATS, STRICT
+                replica,
+                state,
+                DocumentJson(),
+                self.engines,
+                clock,
+                1000,
+                REPEATS,
+                STRICT_QUOTA_BOUNDS,
             )
             group = GroupManager(replica, state, clock, 1)
             self.leaders[name] = leader
--- a/chestnutfall/tests/test_gateway_broadcaster.py
+++ b/chestnutfall/tests/test_gateway_broadcaster.py
@@ -22,7 +22,7 @@
 from ..placement.placer import Placer
 from ..quota.quota_ledger import QuotaLedger
 from ..routes import EngineSpec, ModelSpec
-from ..settings.quota_bounds import STRICT
+from ..settings.quota_bounds import STRICT_QUOTA_BOUNDS
 
 ENGINES, SLOTS = 31, 7
 SPEC = EngineSpec(8, 177_283, (ModelSpec("base", 50),), 66_000, SLOTS, 27)
@@ -53,7 +53,7 @@
             self.sessions,
             ControlState(),
             self.placer,
-            QuotaLedger(STRICT, self.clock),
+            QuotaLedger(STRICT_QUOTA_BOUNDS, self.clock),
             self.clock,
         )
 
--- a/chestnutfall/tests/test_leader_rush.py
+++ b/chestnutfall/tests/test_leader_rush.py
@@ -23,7 +23,7 @@
 )
 from ..forwarding.recent_gateways import REMEMBERED_MS, RecentGateways
 from ..platform.document_json import DocumentJson
-from ..settings.quota_bounds import STRICT
+from ..settings.quota_bounds import STRICT_QUOTA_BOUNDS
 from ..settings.repeat_bounds import RepeatBounds
 from .fakes import FakeCluster
 from .fakes.taking_engines import TakingEngines
@@ -45,7 +45,7 @@
             self.cluster.clock,
             1000,
             RepeatBounds(0.2, 50, 10_000),
-            STRICT,
+            STRICT_QUOTA_BOUNDS,
         )
         self.task = replica.spawn(leader.run())
         await self.cluster.clock.advance(500)
--- a/chestnutfall/tests/test_organisations.py
+++ b/chestnutfall/tests/test_organisations.py
@@ -38,7 +38,7 @@
 from ..quota.quota_enforcer import QuotaEnforcer
 from ..requests import key_digest
 from ..routes import RouteTable, UnreadableDocument, check_document
-from ..settings.quota_bounds import STRICT
+from ..settings.quota_bounds import STRICT_QUOTA_BOUNDS
 from ..settings.repeat_bounds import RepeatBounds
 from .fakes.fake_upstreams import (
     FixedRoutes,
@@ -152,7 +152,7 @@
         self.within_ms = 100
         self.quota_client = ScriptedQuotaClient()
         self.quotas = QuotaEnforcer(
-            self.quota_client, lambda: 1, STRICT, self.clock, random.Random(1)
+            self.quota_client, lambda: 1, STRICT_QUOTA_BOUNDS, self.clock, random.Random(1)
         )
         self.metrics = Histograms()
         self.written = io.StringIO()
--- a/chestnutfall/tests/test_quotas.py
+++ b/chestnutfall/tests/test_quotas.py
@@ -20,7 +20,7 @@
 from ..quota.quota_ledger import QuotaLedger
 from ..quota.token_bucket import TokenBucket
 from ..routes import Organisation, Quota, QuotaUnit
-from ..settings.quota_bounds import STRICT, QuotaBounds
+from ..settings.quota_bounds import STRICT_QUOTA_BOUNDS, QuotaBounds
 from .fakes.quota_office import QuotaOffice
 
 PER_S = 29_000
@@ -176,7 +176,7 @@
         self.assertGreaterEqual(passed, 6)
 
     async def test_those_refused_come_back_one_after_the_other(self) -> None:
-        ledger = QuotaLedger(STRICT, QuotaOffice(1, OFFICE, STRICT).clock)
+        ledger = QuotaLedger(STRICT_QUOTA_BOUNDS, QuotaOffice(1, OFFICE, STRICT_QUOTA_BOUNDS).clock)
         ledger.use([OFFICE])
         waits_ms = [ledger.ask(0, "office", 2_900).retry_after_ms for _ in range(20)]
         self.assertEqual(len(set(waits_ms)), 20)
@@ -252,7 +252,7 @@
 
     async def test_an_organisation_without_a_limit_is_not_counted(self) -> None:
         free = Organisation("free", ())
-        office = QuotaOffice(1, free, STRICT)
+        office = QuotaOffice(1, free, STRICT_QUOTA_BOUNDS)
         for _ in range(500):
             self.assertTrue(await office.request(0, REASSESSMENT))
         self.assertEqual(office.messages, 0)
