--- a/chestnutfall/findings/__init__.py
+++ b/chestnutfall/findings/__init__.py
@@ -1,5 +1,5 @@
-"""What is wrong with a document, collected with its place.
+"""Strict reading of JSON documents; every error is collected with its position.
 
-Nothing is imported here: a program loads only the modules that it names, since the libraries of
-the others would double the time that it takes to start.
+This package imports nothing, so that a program loads only the modules it uses; the libraries of
+the others would double its start time.
 """
--- a/chestnutfall/findings/finding.py
+++ b/chestnutfall/findings/finding.py
@@ -1,4 +1,4 @@
-"""One thing wrong in a document."""
+"""One error in a document."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """A rule that a document breaks, and where.
+    """A rule that a document breaks, with the position of the value that breaks it.
 
     Attributes
     ----------
     file : str
-        The file, or another name of the document.
+        Path of the file, or another name of the document.
     pointer : str
         JSON pointer (RFC 6901) of the value; empty for the whole document.
     rule : str
-        What is wrong and what is allowed.
+        What is wrong, or what is allowed.
     found : str
-        The value found, shortened.
+        The value, shortened; empty when it is not shown.
     """
 
     file: str
--- a/chestnutfall/findings/json_document.py
+++ b/chestnutfall/findings/json_document.py
@@ -1,4 +1,4 @@
-"""Reading JSON such that nothing in it is silently dropped."""
+"""Strict JSON parsing, which drops nothing silently."""
 
 from __future__ import annotations
 
@@ -18,19 +18,33 @@
     pass
 
 
-def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _unique_members(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     members = dict(pairs)
     if len(members) != len(pairs):
         seen: set[str] = set()
-        twice = next(key for key, _ in pairs if key in seen or seen.add(key))  # type: ignore[func-returns-value]
-        raise _DuplicateKeyError(f"the key {twice!r} stands twice in one object")
+        duplicate = next(key for key, _ in pairs if key in seen or seen.add(key))  # type: ignore[func-returns-value]
+        raise _DuplicateKeyError(f"the key {duplicate!r} stands twice in one object")
     return members
 
 
 def read_json_text(text: str | bytes, name: str) -> Result[Any, list[Finding]]:
-    """Parse `text`; duplicate keys, NaN and Infinity are findings."""
+    """Parse JSON text.
+
+    Duplicate keys, NaN, Infinity and nesting deeper than `MAX_DEPTH` are findings, though
+    Python's parser accepts them.
+
+    Parameters
+    ----------
+    name : str
+        Name of the document in findings.
+
+    Returns
+    -------
+    Result
+        The parsed value, or a list with one finding.
+    """
     try:
-        value = json.loads(text, object_pairs_hook=_unique, parse_constant=_refuse_constant)
+        value = json.loads(text, object_pairs_hook=_unique_members, parse_constant=_reject_constant)
     except RecursionError:
         return Error([Finding(name, "", _TOO_DEEP)])
     except (ValueError, UnicodeDecodeError) as exc:
@@ -56,12 +70,12 @@
     return True
 
 
-def _refuse_constant(name: str) -> Any:
+def _reject_constant(name: str) -> Any:
     raise ValueError(f"{name} is not a JSON number")
 
 
 def read_json(path: Path) -> Result[Any, list[Finding]]:
-    """Read and parse the file at `path`."""
+    """Read and parse the file at `path`, with the rules of `read_json_text`."""
     try:
         text = path.read_bytes()
     except OSError as exc:
--- a/chestnutfall/findings/typed_document.py
+++ b/chestnutfall/findings/typed_document.py
@@ -1,4 +1,4 @@
-"""From parsed JSON to a checked data class, all errors at once."""
+"""Conversion of parsed JSON to a validated data class."""
 
 from __future__ import annotations
 
@@ -14,12 +14,17 @@
 
 
 def to_typed(adapter: TypeAdapter[T], value: Any, name: str) -> Result[T, list[Finding]]:
-    """Check `value` against the data class of `adapter`.
+    """Validate `value` against the data class of `adapter`.
+
+    Parameters
+    ----------
+    name : str
+        Name of the document in findings.
 
     Returns
     -------
     Result
-        The data class, or every finding with its JSON pointer.
+        The data class, or all findings at once, each with its JSON pointer.
     """
     try:
         return Ok(adapter.validate_python(value))
--- a/chestnutfall/tests/test_findings.py
+++ b/chestnutfall/tests/test_findings.py
@@ -1,4 +1,4 @@
-"""Reading JSON and collecting findings."""
+"""Strict reading of JSON, and findings with their positions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ReadJsonTest(unittest.TestCase):
-    def test_unclear_documents_are_refused(self) -> None:
+    def test_ambiguous_or_invalid_documents_are_refused(self) -> None:
         cases = {
             '{"model": "a", "model": "b"}': "stands twice",
             "[" * 200 + "]" * 200: "nested deeper",
@@ -31,7 +31,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def test_all_findings_come_at_once_with_their_place(self) -> None:
+    def test_all_findings_come_at_once_with_their_position(self) -> None:
         with TemporaryDirectory() as folder:
             path = Path(folder) / "gateway.json"
             path.write_text('{"name": "Entry 1", "listen": "localhost:80", "colour": 1}')
