--- a/chestnutfall/clock/__init__.py
+++ b/chestnutfall/clock/__init__.py
@@ -1,4 +1,4 @@
-"""Time in milliseconds, behind one small type."""
+"""Clocks in milliseconds, and counting over a sliding window."""
 
 from __future__ import annotations
 
--- a/chestnutfall/clock/clock.py
+++ b/chestnutfall/clock/clock.py
@@ -1,4 +1,4 @@
-"""The clock every part is given instead of reading time itself."""
+"""Interface to the clock, which is passed to every part that needs time."""
 
 from __future__ import annotations
 
@@ -11,23 +11,26 @@
 
 
 class Clock(ABC):
-    """Monotonic time in ms, and waiting by it."""
+    """Monotonic time and waiting, in milliseconds.
+
+    Parts get a clock instead of reading time themselves, so that tests can replace it.
+    """
 
     @abstractmethod
     def now_ms(self) -> int:
-        """Return monotonic time, ms since an arbitrary start."""
+        """Return the monotonic time in ms since an arbitrary start."""
 
     @abstractmethod
     async def sleep_ms(self, ms: float) -> None:
         """Wait for `ms` milliseconds."""
 
     async def within_ms(self, ms: float, work: Coroutine[Any, Any, T]) -> T:
-        """Run `work` and give up on it after `ms`.
+        """Run `work` with a timeout of `ms` milliseconds, and return its result.
 
         Raises
         ------
         TimeoutError
-            When `work` has not ended in time; it is cancelled first.
+            When `work` has not ended in time; it is cancelled.
         """
         task = asyncio.ensure_future(work)
         timer = asyncio.ensure_future(self.sleep_ms(ms))
--- a/chestnutfall/clock/manual_clock.py
+++ b/chestnutfall/clock/manual_clock.py
@@ -1,4 +1,4 @@
-"""A clock that moves only when told, for tests and experiments."""
+"""A clock that advances only on request, for tests and experiments."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class ManualClock(Clock):
-    """Virtual time; use it on a plain asyncio loop without sockets or threads."""
+    """Virtual time, which advances only in `advance`.
+
+    It needs a plain asyncio loop without sockets or threads, since `settle` can't wait for them.
+    """
 
     def __init__(self, start_ms: int = 0) -> None:
         self._now_ms = start_ms
@@ -28,14 +31,14 @@
         await fut
 
     async def settle(self) -> None:
-        """Let every task run until all of them wait."""
+        """Run all ready tasks until each one waits."""
         loop: Any = asyncio.get_running_loop()
         await asyncio.sleep(0)
         while loop._ready:
             await asyncio.sleep(0)
 
     async def advance(self, ms: int) -> None:
-        """Move time forward by `ms`, waking sleepers in the order they are due."""
+        """Advance the time by `ms`; wake sleepers in the order in which they are due."""
         end_ms = self._now_ms + ms
         await self.settle()
         while self._sleepers and self._sleepers[0][0] <= end_ms:
--- a/chestnutfall/clock/process_start.py
+++ b/chestnutfall/clock/process_start.py
@@ -1,8 +1,8 @@
-"""When this process began; imported before anything that takes time."""
+"""Start time of this process; import it before modules that take long to load."""
 
 from __future__ import annotations
 
 import time
 
 PROCESS_START_MS = time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
-"""On the scale of `SystemClock`."""
+"""In ms since boot, comparable with `SystemClock.now_ms`."""
--- a/chestnutfall/clock/sliding_window.py
+++ b/chestnutfall/clock/sliding_window.py
@@ -1,4 +1,4 @@
-"""Counting what happened lately."""
+"""Count of recent events."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 
 
 class SlidingWindow:
-    """Moments of the last `length_ms`, in the order in which they came."""
+    """Times of the events in the last `length_ms` milliseconds, oldest first."""
 
     def __init__(self, length_ms: int) -> None:
         self._length_ms = length_ms
-        self._moments_ms: deque[int] = deque()
+        self._event_times_ms: deque[int] = deque()
 
     def __len__(self) -> int:
-        """Moments that are kept."""
-        return len(self._moments_ms)
+        """Return the number of event times in memory, some of which may be out of the window."""
+        return len(self._event_times_ms)
 
     def note(self, now_ms: int) -> None:
-        """Count something that happens now."""
-        # Who notes far more often than it counts would keep all moments for ever.
-        self._forget_old(now_ms)
-        self._moments_ms.append(now_ms)
+        """Add an event at `now_ms`."""
+        # Without this, a window that gets events but is seldom counted would grow without bound.
+        self._drop_expired(now_ms)
+        self._event_times_ms.append(now_ms)
 
     def count(self, now_ms: int) -> int:
-        """How often it happened within the window that ends now."""
-        self._forget_old(now_ms)
-        return len(self._moments_ms)
+        """Return the number of events in the window that ends at `now_ms`."""
+        self._drop_expired(now_ms)
+        return len(self._event_times_ms)
 
     def drop_oldest(self) -> None:
-        """Stop counting the oldest moment."""
-        self._moments_ms.popleft()
+        """Remove the oldest event."""
+        self._event_times_ms.popleft()
 
-    def _forget_old(self, now_ms: int) -> None:
-        while self._moments_ms and self._moments_ms[0] <= now_ms - self._length_ms:
-            self._moments_ms.popleft()
+    def _drop_expired(self, now_ms: int) -> None:
+        while self._event_times_ms and self._event_times_ms[0] <= now_ms - self._length_ms:
+            self._event_times_ms.popleft()
--- a/chestnutfall/clock/system_clock.py
+++ b/chestnutfall/clock/system_clock.py
@@ -1,4 +1,4 @@
-"""The machine's clock."""
+"""The clock of the host."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class SystemClock(Clock):
-    """Time since boot, suspended time included."""
+    """Time since boot, including the time in which the host was suspended."""
 
     def now_ms(self) -> int:
-        # CLOCK_MONOTONIC stands still while a host is suspended. Symptom: a lease that ran out
-        # during the pause still looks valid on waking. CLOCK_BOOTTIME counts the pause.
+        # CLOCK_MONOTONIC stops while a host is suspended, so that a lease that expired during the
+        # suspension would still look valid afterwards. CLOCK_BOOTTIME goes on.
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
 
     async def sleep_ms(self, ms: float) -> None:
--- a/properties/safeguards/limit_mutants.py
+++ b/properties/safeguards/limit_mutants.py
@@ -139,8 +139,8 @@
     Mutant(
         "moments are forgotten only when they are counted",
         "chestnutfall/clock/sliding_window.py",
-        "        self._forget_old(now_ms)\n        self._moments_ms.append(now_ms)",
-        "        self._moments_ms.append(now_ms)",
+        "        self._drop_expired(now_ms)\n        self._event_times_ms.append(now_ms)",
+        "        self._event_times_ms.append(now_ms)",
         _PARTS,
     ),
     Mutant(
