--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -18,7 +18,7 @@
 from chestnutfall.clock import ManualClock
 from chestnutfall.limits.leaderless_limits import LeaderlessLimits
 from chestnutfall.limits.upstream_limit import UpstreamLimit
-from chestnutfall.platform.standin.limit_history import OVER, SLACK, WINDOW_MS
+from chestnutfall.platform.standin.limit_history import ALLOWED_EXTRA, ALLOWED_FACTOR, WINDOW_MS
 
 STEP_MS = 5
 LOAD = 8.0
@@ -65,7 +65,7 @@
         while window and window[0] <= now_ms - WINDOW_MS:
             window.popleft()
         most = max(most, len(window))
-    allowed = OVER * per_s * WINDOW_MS / 1000 + SLACK
+    allowed = ALLOWED_FACTOR * per_s * WINDOW_MS / 1000 + ALLOWED_EXTRA
     where = "all" if callers_at == gateways else f"{callers_at}"
     return f"{gateways:8d} {where:>5} {way:>7} {sent / per_s / seconds:6.3f} {most / allowed:6.3f}"
 
--- a/benchmarks/signals.py
+++ b/benchmarks/signals.py
@@ -13,7 +13,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from chestnutfall.platform.standin.signal_history import Disobeyed
+from chestnutfall.platform.standin.signal_history import RequestsAfterSignal
 from chestnutfall.platform.standin.upstream import StandInUpstream
 from chestnutfall.tests.office_play import OfficePlay, ask_for_time
 
@@ -90,7 +90,7 @@
     return script
 
 
-def most(found: list[Disobeyed]) -> int:
+def most(found: list[RequestsAfterSignal]) -> int:
     """Most requests that one gateway sent in one such time."""
     return max((one.got for one in found), default=0)
 
--- a/chestnutfall/platform/body.py
+++ b/chestnutfall/platform/body.py
@@ -1,17 +1,17 @@
-"""Reading a request's body up to a bound."""
+"""Reading a request body up to a maximum size."""
 
 from __future__ import annotations
 
 from aiohttp import web
 
 
-async def read_body(request: web.BaseRequest, most_bytes: int) -> bytes | None:
-    """The whole body; None when it is longer than `most_bytes`."""
-    # aiohttp's own reading stops at 1 MB, whatever the server allows. Symptom: a configuration
-    # of some thousand routes is refused for good.
+async def read_body(request: web.BaseRequest, max_bytes: int) -> bytes | None:
+    """Read the whole body of a request; None if it is longer than `max_bytes`."""
+    # `request.read()` of aiohttp stops at 1 MB, whatever limit the server sets: a configuration
+    # of a few thousand routes would always be rejected.
     body = bytearray()
     async for data in request.content.iter_any():
         body += data
-        if len(body) > most_bytes:
+        if len(body) > max_bytes:
             return None
     return bytes(body)
--- a/chestnutfall/platform/call_reader.py
+++ b/chestnutfall/platform/call_reader.py
@@ -1,4 +1,4 @@
-"""From an HTTP request of a client to a call."""
+"""Decoding a client's HTTP request to a `Call`."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from ..requests import key_digest
 from . import header_names as names
 
-NO_DEADLINE_MS = 3_600_000
-"""A client that names no deadline is bounded by its route's timeout."""
-MOST_KEY_CHARACTERS = 1_024
-"""Longer than any key in use; a longer one is a mistake of its client."""
+DEFAULT_DEADLINE_MS = 3_600_000
+"""Used without the header; the timeout of the route then bounds the request."""
+MAX_KEY_CHARACTERS = 1_024
+"""Longer than any key in use; a request with a longer one is malformed."""
 
 
 def read_call(request: web.BaseRequest, body: bytes, arrived_ms: int) -> Call:
-    """Translate a request.
+    """Decode a request that arrived at `arrived_ms`.
 
     Raises
     ------
     ValueError
-        When a header of the platform is malformed.
+        If one of the platform's headers is malformed. The message contains no API key.
     """
     target = request.raw_path
     headers = request.headers
@@ -34,14 +34,14 @@
         target=target,
         path=target.partition("?")[0],
         host=headers.get("Host", "").partition(":")[0],
-        headers=_passed_on(request.raw_headers),
+        headers=_forwarded_headers(request.raw_headers),
         body=body,
         arrived_ms=arrived_ms,
-        deadline_ms=arrived_ms + int(headers.get(names.DEADLINE, NO_DEADLINE_MS)),
+        deadline_ms=arrived_ms + int(headers.get(names.DEADLINE, DEFAULT_DEADLINE_MS)),
         adapter=_adapter(headers.get(names.MODEL)),
         prompt_tokens=prompt_tokens,
         output_tokens=output_tokens,
-        parts=_parts(headers.get(names.PROMPT_PARTS, "")),
+        parts=_prompt_parts(headers.get(names.PROMPT_PARTS, "")),
         resume_after=int(last_event) if last_event is not None else None,
         tokens=prompt_tokens + output_tokens if counts else None,
         key_digest=_key_digest(headers.getall(names.KEY, [])),
@@ -49,17 +49,17 @@
 
 
 def _key_digest(keys: list[str]) -> str | None:
-    # No message names a key, since malformed headers are logged.
+    # Error messages must not contain a key, since they are logged.
     if len(keys) > 1:
-        raise ValueError(f"{names.KEY} must come once; found {len(keys)}")
+        raise ValueError(f"{names.KEY} may occur once; found {len(keys)}")
     if not keys:
         return None
-    if len(keys[0]) > MOST_KEY_CHARACTERS:
-        raise ValueError(f"{names.KEY} has over {MOST_KEY_CHARACTERS} characters")
+    if len(keys[0]) > MAX_KEY_CHARACTERS:
+        raise ValueError(f"{names.KEY} is longer than {MAX_KEY_CHARACTERS} characters")
     return key_digest(keys[0])
 
 
-def _passed_on(raw_headers: tuple[tuple[bytes, bytes], ...]) -> Headers:
+def _forwarded_headers(raw_headers: tuple[tuple[bytes, bytes], ...]) -> Headers:
     decoded = (
         (name.decode("latin-1"), value.decode("utf-8", "surrogateescape"))
         for name, value in raw_headers
@@ -67,11 +67,12 @@
     return tuple(
         (name, value)
         for name, value in decoded
-        if name.lower() not in names.CONNECTION_ONLY and name.lower() not in names.OURS
+        if name.lower() not in names.CONNECTION_ONLY and name.lower() not in names.NOT_FORWARDED
     )
 
 
 def _adapter(text: str | None) -> AdapterName | None:
+    """Decode `MODEL/ADAPTER`; the adapter may be missing."""
     if text is None:
         return None
     model, _, adapter = text.partition("/")
@@ -79,13 +80,14 @@
 
 
 def _token_counts(text: str) -> tuple[int, int]:
-    """Tokens of the prompt, and most tokens generated."""
+    """Decode `PROMPT,OUTPUT`: tokens of the prompt, and most tokens to generate."""
     if not text:
         return 0, 0
     prompt, _, output = text.partition(",")
     return int(prompt), int(output or 0)
 
 
-def _parts(text: str) -> tuple[PromptPart, ...]:
+def _prompt_parts(text: str) -> tuple[PromptPart, ...]:
+    """Decode `ID:TOKENS,...`: the parts of the prompt in order; equal ids mean equal text."""
     pairs = (pair.partition(":") for pair in text.split(",") if pair)
     return tuple(PromptPart(part_id.strip(), int(tokens)) for part_id, _, tokens in pairs)
--- a/chestnutfall/platform/client_reply.py
+++ b/chestnutfall/platform/client_reply.py
@@ -1,4 +1,4 @@
-"""Answers to clients over HTTP."""
+"""HTTP answers to clients."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 
 class ClientReply(CallerReply):
-    """One answer on the connection of `request`.
+    """The answer to one HTTP request of a client.
 
     Attributes
     ----------
     response : web.StreamResponse or None
-        What was sent; None while nothing was.
+        The response once its headers are being sent; None before.
     """
 
     def __init__(self, request: web.BaseRequest, closing: bool) -> None:
-        """Answer `request`; if `closing`, tell its client to leave the connection."""
+        """Answer `request`; if `closing`, close its connection after the answer."""
         self._request = request
         self._closing = closing
         self.response: web.StreamResponse | None = None
 
     async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
-        kept = _kept(headers)
+        kept = _without_connection_headers(headers)
         await self._send(web.Response(status=status, headers=kept, body=body))
 
     async def start(self, status: int, headers: Headers) -> None:
-        response = web.StreamResponse(status=status, headers=_kept(headers))
-        self._mark_closing(response)
+        response = web.StreamResponse(status=status, headers=_without_connection_headers(headers))
+        self._close_if_closing(response)
         self.response = response
         await response.prepare(self._request)
 
@@ -44,7 +44,7 @@
         await self.response.write_eof()
 
     def break_off(self) -> None:
-        # A chunked answer whose connection ends before the last chunk can't be taken for whole.
+        # Without its last chunk, the client can't take a chunked answer for complete.
         if self._request.transport is not None:
             self._request.transport.abort()
 
@@ -55,17 +55,17 @@
         await self._send(web.Response(status=status, headers=headers, text=reason))
 
     async def _send(self, response: web.Response) -> None:
-        self._mark_closing(response)
+        self._close_if_closing(response)
         self.response = response
         await response.prepare(self._request)
         await response.write_eof()
 
-    def _mark_closing(self, response: web.StreamResponse) -> None:
+    def _close_if_closing(self, response: web.StreamResponse) -> None:
         if self._closing:
             response.force_close()
 
 
-def _kept(headers: Headers) -> CIMultiDict[str]:
+def _without_connection_headers(headers: Headers) -> CIMultiDict[str]:
     return CIMultiDict(
         (name, value) for name, value in headers if name.lower() not in names.CONNECTION_ONLY
     )
--- a/chestnutfall/platform/control_server.py
+++ b/chestnutfall/platform/control_server.py
@@ -1,4 +1,4 @@
-"""Where operators and upstreams call a controller."""
+"""HTTP server of a controller, for operators and upstreams."""
 
 from __future__ import annotations
 
@@ -26,17 +26,20 @@
 
 log = logging.getLogger(__name__)
 MAX_BODY_BYTES = 32 * 1024 * 1024
-"""A hundred times a document of 1,400 routes."""
-INSTANCES = "/v1/instances/"
-IDLE_S = 10.0
-"""Several heartbeats. Connections of upstreams that call elsewhere by now must not add up: every
-one takes a descriptor, and a controller that runs out of them ends."""
-MOST_REASON = 300
-"""Characters of a reason or path in a log line; what others send may have any length."""
+"""A configuration document of 1,400 routes takes a hundredth of it."""
+INSTANCES_PATH = "/v1/instances/"
+IDLE_TIMEOUT_S = 10.0
+"""Several heartbeat intervals. Upstreams may move on to another controller; their idle connections
+must be closed, since each takes a file descriptor and a controller without descriptors exits."""
+MAX_REASON_CHARACTERS = 300
+"""Characters of a reason or path in log lines and answers; senders may make them any length."""
 
 
 class ControlServer:
-    """Translates each HTTP call to a message for the desk, and its answer back."""
+    """Decodes each HTTP request to a message for the desk, and encodes the desk's answer.
+
+    The desk forwards messages to the leader, so that any controller can be called.
+    """
 
     def __init__(self, desk: CurrentRelay, codec: DocumentCodec) -> None:
         self._desk = desk
@@ -45,9 +48,9 @@
         self._address = ""
 
     async def start(self, address: str) -> None:
-        """Begin to listen."""
+        """Listen on `address`, which answers to heartbeats name as well."""
         self._address = address
-        server = web.Server(self._on_call, access_log=None, keepalive_timeout=IDLE_S)
+        server = web.Server(self._on_request, access_log=None, keepalive_timeout=IDLE_TIMEOUT_S)
         self._runner = await listen(server, address)
 
     async def stop(self) -> None:
@@ -55,29 +58,33 @@
         if self._runner is not None:
             await self._runner.cleanup()
 
-    async def _on_call(self, request: web.BaseRequest) -> web.Response:
+    async def _on_request(self, request: web.BaseRequest) -> web.Response:
         body = await read_body(request, MAX_BODY_BYTES)
         if body is None:
             return web.json_response({"error": f"over {MAX_BODY_BYTES} bytes"}, status=413)
-        instance = request.path.removeprefix(INSTANCES)
+        instance = request.path.removeprefix(INSTANCES_PATH)
         try:
             match request.method, request.path:
                 case "GET", "/v1/config":
-                    return self._document(await self._desk.ask(ReadDocument()))
+                    return self._document_answer(await self._desk.ask(ReadDocument()))
                 case "PUT", "/v1/config":
                     return await self._put(body)
                 case "POST", "/v1/version-put":
-                    return _plain(await self._desk.ask(_version(json.loads(body))))
-                case "PUT", path if path.startswith(INSTANCES):
-                    return self._heard(await self._desk.ask(read_announcement(instance, body)))
-                case "DELETE", path if path.startswith(INSTANCES):
-                    return _plain(await self._desk.ask(read_departure(instance, body)))
+                    return _empty_answer(await self._desk.ask(_read_version(json.loads(body))))
+                case "PUT", path if path.startswith(INSTANCES_PATH):
+                    return self._heartbeat_answer(
+                        await self._desk.ask(read_announcement(instance, body))
+                    )
+                case "DELETE", path if path.startswith(INSTANCES_PATH):
+                    return _empty_answer(await self._desk.ask(read_departure(instance, body)))
                 case _:
                     return web.json_response({"error": "no such call"}, status=404)
         except (ValueError, KeyError, TypeError) as exc:
-            reason = repr(exc)[:MOST_REASON]
-            path = request.path[:MOST_REASON]
-            log.warning("control: %s %s is malformed: %s", request.method, path, reason)
+            reason = repr(exc)[:MAX_REASON_CHARACTERS]
+            path = request.path[:MAX_REASON_CHARACTERS]
+            log.warning(
+                "control: %s %s is malformed, answered 400: %s", request.method, path, reason
+            )
             return web.json_response({"error": reason}, status=400)
 
     async def _put(self, body: bytes) -> web.Response:
@@ -87,21 +94,21 @@
         except UnreadableDocument as exc:
             findings = exc.findings
         if findings:
-            log.info("document: refused %s", "; ".join(map(str, findings[:5])))
+            log.info("document: rejected, findings: %s", "; ".join(map(str, findings[:5])))
             return web.json_response({"findings": [str(one) for one in findings]}, status=400)
-        return _plain(
+        return _empty_answer(
             await self._desk.ask(StoreDocument(document.version, compress_document(body)))
         )
 
-    def _heard(self, answer: Any) -> web.Response:
-        # It stays here while it is answered here. Spread anew with each heartbeat, thousands of
-        # upstreams keep a connection to every controller.
+    def _heartbeat_answer(self, answer: Any) -> web.Response:
+        # Naming this controller keeps an upstream on it while it answers. If each heartbeat went to
+        # a random controller, thousands of upstreams would hold a connection to every one of them.
         if isinstance(answer, Accepted):
             return web.json_response({"heartbeat_url": self._address})
-        return _plain(answer)
+        return _empty_answer(answer)
 
     @staticmethod
-    def _document(answer: Any) -> web.Response:
+    def _document_answer(answer: Any) -> web.Response:
         match answer:
             case HeldDocument(version, content) if version >= 0:
                 return web.Response(
@@ -111,7 +118,7 @@
                 return web.json_response({"error": "not known"}, status=503)
 
 
-def _plain(answer: Any) -> web.Response:
+def _empty_answer(answer: Any) -> web.Response:
     match answer:
         case Accepted():
             return web.json_response({})
@@ -121,5 +128,5 @@
             return web.json_response({"error": "no leader"}, status=503)
 
 
-def _version(wire: dict[str, Any]) -> StoreVersion:
+def _read_version(wire: dict[str, Any]) -> StoreVersion:
     return StoreVersion(wire["model"], wire.get("adapter", ""), int(wire["version"]))
--- a/chestnutfall/platform/controller.py
+++ b/chestnutfall/platform/controller.py
@@ -1,4 +1,4 @@
-"""Program `chestnutfall.platform.controller`: one replica of the state, on the platform."""
+"""Program `chestnutfall.platform.controller`: one replica of the control state, on the platform."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def main() -> None:
-    """Run one controller until SIGTERM."""
+    """Run one controller until SIGTERM; SIGHUP reloads the settings file."""
     settings = read_node_file()
     run(lambda stop: _serve(settings, stop))
 
@@ -38,9 +38,9 @@
     controller = ControllerRunner(settings, codec, engines, clock, metrics)
     server = ControlServer(controller.relay, codec)
     watch = SettingsWatch(settings, clock, controller.use_settings)
-    asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, watch.look)
+    asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, watch.reload)
     tasks = [asyncio.ensure_future(controller.run(stop)), asyncio.ensure_future(watch.run())]
-    exposed = await serve_metrics(
+    metrics_runner = await serve_metrics(
         metrics, f"{settings.ip}:{settings.metrics_port}", controller.refresh_gauges
     )
     await server.start(settings.control_listen)
@@ -49,7 +49,7 @@
     await server.stop()
     await tasks[0]
     tasks[1].cancel()
-    await exposed.cleanup()
+    await metrics_runner.cleanup()
     await engines.close()
     log.info("controller: stopped")
     return 0
--- a/chestnutfall/platform/document_json.py
+++ b/chestnutfall/platform/document_json.py
@@ -1,4 +1,4 @@
-"""Configuration documents as the platform's operators send them."""
+"""Decoding of the JSON configuration documents that operators of the platform send."""
 
 from __future__ import annotations
 
@@ -25,46 +25,58 @@
 
 
 class _Model(msgspec.Struct):
+    """A base model that the engines of a service can hold."""
+
     name: str
     weights_mb: float
 
 
 class _Engine(msgspec.Struct):
-    slots: int  # requests in one batch
-    kv_capacity: int  # tokens
-    weights_mb: float  # memory for weights, not the size of one model
+    """Capacity of each engine of a service."""
+
+    slots: int  # requests in one batch, not adapter slots
+    kv_capacity: int  # tokens in the KV cache
+    weights_mb: float  # memory for the weights of all models and adapters, not of one model
     models: tuple[_Model, ...] = ()
     adapter_slots: int = 0
-    loads_per_s: float = 1.0
+    loads_per_s: float = 1.0  # of models, over all engines of the service
 
 
 class _Service(msgspec.Struct):
+    """A group of interchangeable upstreams."""
+
     name: str
-    engine: _Engine | None = None
+    engine: _Engine | None = None  # None for a service that is not model-serving
 
 
 class _Target(msgspec.Struct):
+    """One service of a split route and its share of the requests."""
+
     service: str
     weight: float
 
 
 class _Route(msgspec.Struct):
+    """Where requests of one host and path prefix go; decoded to `Route`."""
+
     name: str
     host: str
     path_prefix: str
-    kind: str
+    kind: str  # key of `_KINDS`
     timeout_ms: int
-    slo_ms: int = 0
-    priority: int = 0
+    slo_ms: int = 0  # latency objective; of a stream, until its first event
+    priority: int = 0  # 0 is the most urgent
     service: str = ""  # set when the route is not split
     backends: tuple[_Target, ...] = ()  # services of a split route, not upstreams
-    attempts: int = 1
+    attempts: int = 1  # most upstreams that may run one request
     resumable: bool = False
-    gap_aim_ms: int = 0
-    public: bool = False
+    gap_aim_ms: int = 0  # longest pause between two events of a stream that is still on time
+    public: bool = False  # whether requests need no key
 
 
 class _Limits(msgspec.Struct):
+    """Bounds on requests of clients; decoded to `DocumentLimits`."""
+
     max_header_bytes: int = DocumentLimits().max_header_bytes
     max_body_bytes: int = DocumentLimits().max_body_bytes
     header_timeout_ms: int = DocumentLimits().header_timeout_ms
@@ -72,16 +84,20 @@
 
 
 class _Tenant(msgspec.Struct):
+    """An organisation and its quota; decoded to `Organisation`."""
+
     name: str
     api_keys: tuple[str, ...] = ()
-    priority: int | None = None  # goes before that of the route
+    priority: int | None = None  # overrides that of the route; 0 is the most urgent
     unit: str = QuotaUnit.REQUESTS.value
-    rate_per_s: float = 0.0  # in `unit`, not always requests
-    burst: float = 0.0
-    plain_tokens: int = 0
+    rate_per_s: float = 0.0  # in `unit`, not always requests; 0 is unlimited
+    burst: float = 0.0  # in `unit`
+    plain_tokens: int = 0  # cost of a request that names no tokens, if `unit` is tokens
 
 
 class _Document(msgspec.Struct):
+    """A whole configuration document; decoded to `Document`."""
+
     version: int
     routes: tuple[_Route, ...]
     services: tuple[_Service, ...]
@@ -97,7 +113,7 @@
 
 
 class DocumentJson(DocumentCodec):
-    """JSON documents."""
+    """Decodes JSON documents; a syntax error, or an unknown kind or unit, is a finding."""
 
     def __init__(self) -> None:
         self._decoder = msgspec.json.Decoder(_Document)
@@ -111,7 +127,7 @@
             raise UnreadableDocument([Finding(DOCUMENT_NAME, "", f"not UTF-8: {exc}")]) from exc
         return Document(
             wire.version,
-            tuple(_route(at, route) for at, route in enumerate(wire.routes)),
+            tuple(_route(index, route) for index, route in enumerate(wire.routes)),
             tuple(_service(service) for service in wire.services),
             DocumentLimits(
                 wire.limits.max_header_bytes,
@@ -119,15 +135,16 @@
                 wire.limits.header_timeout_ms,
                 wire.limits.idle_timeout_ms,
             ),
-            tuple(_organisation(at, tenant) for at, tenant in enumerate(wire.tenants)),
+            tuple(_organisation(index, tenant) for index, tenant in enumerate(wire.tenants)),
         )
 
 
-def _route(at: int, wire: _Route) -> Route:
+def _route(index: int, wire: _Route) -> Route:
+    """Decode the route at index `index`."""
     kind = _KINDS.get(wire.kind)
     if kind is None:
         rule = f"the kind must be one of {', '.join(_KINDS)}"
-        raise UnreadableDocument([Finding(DOCUMENT_NAME, f"/routes/{at}/kind", rule, wire.kind)])
+        raise UnreadableDocument([Finding(DOCUMENT_NAME, f"/routes/{index}/kind", rule, wire.kind)])
     if kind is RouteKind.STREAM and wire.resumable:
         kind = RouteKind.RESUMABLE_STREAM
     targets = tuple(WeightedService(one.service, one.weight) for one in wire.backends)
@@ -146,11 +163,12 @@
     )
 
 
-def _organisation(at: int, wire: _Tenant) -> Organisation:
+def _organisation(index: int, wire: _Tenant) -> Organisation:
+    """Decode the tenant at index `index`; only digests of its keys are kept."""
     units = {unit.value: unit for unit in QuotaUnit}
     if wire.unit not in units:
         rule = f"the unit must be one of {', '.join(units)}"
-        raise UnreadableDocument([Finding(DOCUMENT_NAME, f"/tenants/{at}/unit", rule, wire.unit)])
+        raise UnreadableDocument([Finding(DOCUMENT_NAME, f"/tenants/{index}/unit", rule, wire.unit)])
     quota = Quota(units[wire.unit], wire.rate_per_s, wire.burst, wire.plain_tokens)
     digests = tuple(key_digest(key) for key in wire.api_keys)
     return Organisation(wire.name, digests, wire.priority, quota)
--- a/chestnutfall/platform/engine_http.py
+++ b/chestnutfall/platform/engine_http.py
@@ -1,4 +1,4 @@
-"""Orders to engines and their reports over HTTP."""
+"""HTTP client of engines: sends orders and fetches reports."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from . import header_names as names
 from .upstream_json import UnreadableUpstream, read_report
 
-MOST_REPORTS = 64
-"""Reports that are asked for at a time. A new leader needs those of all engines: of thousands at
-once, most time out and are asked for again, and each one takes a descriptor."""
-REPORT_S = 0.5
-"""A report needs no place on the engine; without one by then it is asked for again."""
-_RESULTS = {
+MAX_CONCURRENT_REPORTS = 64
+"""Concurrent requests for reports. A new leader needs the reports of all engines; with thousands of
+requests at once, most time out and are repeated, and each takes a file descriptor."""
+REPORT_TIMEOUT_S = 0.5
+"""An engine reports without queueing the request; after this time the caller asks again."""
+_RESULT_BY_STATUS = {
     200: OrderResult.IN_EFFECT,
     202: OrderResult.TAKEN,
     409: OrderResult.CONFLICT,
@@ -28,14 +28,17 @@
 
 
 class EngineHttp(EngineControl):
-    """Orders as JSON; `holder` is this host's name."""
+    """Sends orders as JSON; `holder` is the name of this host, which orders carry.
+
+    Orders use kept connections. Reports open one connection each, since an engine that has
+    reported is rarely asked again soon.
+    """
 
     def __init__(self, holder: str) -> None:
         self._holder = holder
-        self._reports = asyncio.Semaphore(MOST_REPORTS)
-        # An engine whose report was read is seldom asked again soon.
-        self._asking = _session(aiohttp.TCPConnector(limit=0, force_close=True))
-        self._session = _session(aiohttp.TCPConnector(limit=0, keepalive_timeout=1.5))
+        self._report_slots = asyncio.Semaphore(MAX_CONCURRENT_REPORTS)
+        self._report_session = _new_session(aiohttp.TCPConnector(limit=0, force_close=True))
+        self._order_session = _new_session(aiohttp.TCPConnector(limit=0, keepalive_timeout=1.5))
 
     async def order(
         self,
@@ -49,18 +52,18 @@
         body |= {
             "holder": self._holder,
             "fencing_token": fencing_token,
-            "expect": orders_taken,  # how many orders the engine took, not an order's number
+            "expect": orders_taken,  # orders taken so far, not the number of this one
         }
         headers = {names.EXPECTED_INSTANCE: engine.announced_name}
         try:
-            call = self._session.post(
+            call = self._order_session.post(
                 f"http://{engine.address}/v1/order",
                 json=body,
                 headers=headers,
                 timeout=aiohttp.ClientTimeout(total=within_ms / 1000),
             )
             async with call as resp:
-                return _RESULTS.get(resp.status, OrderResult.UNKNOWN)
+                return _RESULT_BY_STATUS.get(resp.status, OrderResult.UNKNOWN)
         except (aiohttp.ClientError, TimeoutError, OSError):
             return OrderResult.UNKNOWN
 
@@ -68,25 +71,28 @@
         headers = {names.EXPECTED_INSTANCE: engine.announced_name}
         url = f"http://{engine.address}/v1/report"
         try:
-            async with self._reports, self._asking.get(url, headers=headers) as resp:
+            async with self._report_slots, self._report_session.get(url, headers=headers) as resp:
                 if resp.status != 200:
-                    raise ConnectionError(f"{engine.address}: report answered {resp.status}")
+                    raise ConnectionError(
+                        f"{engine.address}: request for a report answered {resp.status}"
+                    )
                 return read_report(await resp.read())
         except (aiohttp.ClientError, TimeoutError, UnreadableUpstream) as exc:
             raise ConnectionError(f"{engine.address}: {exc!r}") from exc
 
     async def close(self) -> None:
         """Close every connection."""
-        await self._asking.close()
-        await self._session.close()
+        await self._report_session.close()
+        await self._order_session.close()
 
 
-def _session(connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
-    timeout = aiohttp.ClientTimeout(total=REPORT_S)
+def _new_session(connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
+    timeout = aiohttp.ClientTimeout(total=REPORT_TIMEOUT_S)
     return aiohttp.ClientSession(connector=connector, timeout=timeout, trust_env=False)
 
 
 def _order_body(order: Order) -> dict[str, Any]:
+    """Encode what an order does; an adapter without a version lets the engine choose it."""
     match order:
         case LoadModel(model=model):
             return {"operation": "load", "model": model}
--- a/chestnutfall/platform/entry_server.py
+++ b/chestnutfall/platform/entry_server.py
@@ -1,4 +1,4 @@
-"""Where clients and the platform's balancer call a gateway."""
+"""HTTP server of a gateway, for clients and the platform's load balancer."""
 
 from __future__ import annotations
 
@@ -19,12 +19,24 @@
 
 log = logging.getLogger(__name__)
 KEEPALIVE_S = 75.0
-"""Longer than clients keep a connection idle, so that none is closed as a request crosses."""
+"""Longer than clients keep an idle connection; else the gateway could close one while a request is
+on its way."""
 READY_PATH = "/v1/ready"
 
 
 class EntryServer(Drainable):
-    """Translates each HTTP request to a call for the forwarder."""
+    """Decodes each HTTP request to a call and passes it to the forwarder.
+
+    Readiness for the load balancer is served on an address of its own. The gateway is ready if
+    `is_ready` holds and it is not leaving.
+
+    Parameters
+    ----------
+    is_ready : callable
+        Whether the gateway can serve clients.
+    limits : callable
+        Returns the limits in force for requests.
+    """
 
     def __init__(
         self,
@@ -39,8 +51,8 @@
         self._clock = clock
         self._in_progress = 0
         self._leaving = False
-        self._callers: web.ServerRunner | None = None
-        self._balancer: web.ServerRunner | None = None
+        self._caller_runner: web.ServerRunner | None = None
+        self._ready_runner: web.ServerRunner | None = None
 
     def calls_in_progress(self) -> int:
         return self._in_progress
@@ -52,21 +64,23 @@
         self._forwarder.refuse_new()
 
     async def start(self, caller_address: str, ready_address: str) -> None:
-        """Begin to listen."""
-        calls = web.Server(
-            self._on_call,
+        """Listen for clients and for the load balancer."""
+        caller_server = web.Server(
+            self._on_request,
             access_log=None,
             handler_cancellation=True,
             keepalive_timeout=KEEPALIVE_S,
             max_line_size=DocumentLimits().max_header_bytes,
             max_field_size=DocumentLimits().max_header_bytes,
         )
-        self._callers = await listen(calls, caller_address)
-        self._balancer = await listen(web.Server(self._on_ready, access_log=None), ready_address)
+        self._caller_runner = await listen(caller_server, caller_address)
+        self._ready_runner = await listen(
+            web.Server(self._on_ready, access_log=None), ready_address
+        )
 
     async def stop(self) -> None:
-        """Close every connection; nothing is in progress any more."""
-        for runner in (self._callers, self._balancer):
+        """Close every connection; called once no request is in progress."""
+        for runner in (self._caller_runner, self._ready_runner):
             if runner is not None:
                 await runner.cleanup()
 
@@ -74,7 +88,7 @@
         ready = request.path == READY_PATH and not self._leaving and self._is_ready()
         return web.Response(status=200 if ready else 503)
 
-    async def _on_call(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _on_request(self, request: web.BaseRequest) -> web.StreamResponse:
         arrived_ms = self._clock.now_ms()
         self._in_progress += 1
         try:
@@ -90,13 +104,13 @@
         try:
             call = read_call(request, body, arrived_ms)
         except ValueError as exc:
-            log.info("call: malformed header: %s", exc)
+            log.info("call: answered 400, malformed header: %s", exc)
             return web.Response(status=400)
         try:
             await self._forwarder.serve(call, reply)
         except (ConnectionError, asyncio.CancelledError):
             log.info(
-                "call: id=%s client left ms=%d",
+                "call: id=%s client closed its connection ms=%d",
                 call.request_id,
                 self._clock.now_ms() - arrived_ms,
             )
--- a/chestnutfall/platform/gateway.py
+++ b/chestnutfall/platform/gateway.py
@@ -1,4 +1,4 @@
-"""Program `chestnutfall.platform.gateway`: takes clients' requests on the platform."""
+"""Program `chestnutfall.platform.gateway`: serves clients' requests on the platform."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def main() -> None:
-    """Run one gateway until SIGTERM, then drain."""
+    """Run one gateway until SIGTERM, then drain it; SIGHUP reloads the settings file."""
     settings = read_node_file()
     run(lambda stop: _serve(settings, stop))
 
@@ -59,7 +59,7 @@
     fleet = FleetClient(name, settings.controllers, known, clock)
     quarantine = RequestQuarantine(fleet.report, refuses_connections, clock)
     fleet.on_suspects = quarantine.update
-    api = UpstreamHttp(UnreadHeaders(names.ANSWERED, metrics.count))
+    api = UpstreamHttp(UnreadHeaders(names.ANSWER_HEADERS, metrics.count))
     rng = random.Random()
     quotas = QuotaEnforcer(
         LeaderQuotaClient(fleet), lambda: known.gateways, settings.quotas, clock, rng
@@ -91,7 +91,7 @@
 
     entry = EntryServer(forwarder, lambda: known.table is not None, limits, clock)
 
-    def refresh() -> None:
+    def refresh_gauges() -> None:
         metrics.gauge("calls_in_progress", entry.calls_in_progress())
         metrics.gauge("document_version", known.version)
         metrics.gauge("connected", fleet.connected)
@@ -101,9 +101,11 @@
             metrics.total(figure, value)
 
     watch = SettingsWatch(settings, clock, lambda new: fleet.use_controllers(new.controllers))
-    asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, watch.look)
+    asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, watch.reload)
     tasks = [asyncio.ensure_future(one.run()) for one in (fleet, watch, quotas)]
-    exposed = await serve_metrics(metrics, f"{settings.ip}:{settings.metrics_port}", refresh)
+    metrics_runner = await serve_metrics(
+        metrics, f"{settings.ip}:{settings.metrics_port}", refresh_gauges
+    )
     await entry.start(settings.caller_listen, settings.ready_listen)
     log.info("gateway: started name=%s listen=%s", name, settings.caller_listen)
     await stop.wait()
@@ -111,7 +113,7 @@
     await entry.stop()
     for task in tasks:
         task.cancel()
-    await exposed.cleanup()
+    await metrics_runner.cleanup()
     await api.close()
     log.info("gateway: stopped name=%s", name)
     return 0
--- a/chestnutfall/platform/header_names.py
+++ b/chestnutfall/platform/header_names.py
@@ -1,24 +1,27 @@
-"""Headers of the platform."""
+"""Names of the platform's HTTP headers.
+
+Where the name of a header misleads, a comment says what it holds.
+"""
 
 from __future__ import annotations
 
 REQUEST_ID = "X-Request-Id"
-DEADLINE = "X-Deadline-Ms"
-MODEL = "X-Model"
-TOKEN_COUNTS = "X-Token-Counts"
-PROMPT_PARTS = "X-Prompt-Prefix"
-LAST_EVENT = "Last-Event-Id"
+DEADLINE = "X-Deadline-Ms"  # time left from now in ms, not a point in time
+MODEL = "X-Model"  # MODEL/ADAPTER, or the model alone
+TOKEN_COUNTS = "X-Token-Counts"  # PROMPT,OUTPUT: tokens of the prompt, most tokens to generate
+PROMPT_PARTS = "X-Prompt-Prefix"  # ID:TOKENS,... of all parts of the prompt, not only its prefix
+LAST_EVENT = "Last-Event-Id"  # last event that a client has, if it resumes a stream
 EXPECTED_INSTANCE = "X-Expect-Instance"
-EXPECTED_VERSION = "X-Expect-Version"
-RANK = "X-Request-Priority"
-NOT_EXECUTED = "X-Not-Executed"
+EXPECTED_VERSION = "X-Expect-Version"  # of the adapter
+RANK = "X-Request-Priority"  # 0 is the most urgent, 9 the least
+NOT_EXECUTED = "X-Not-Executed"  # its presence proves that the request did not run
 INSTANCE = "X-Instance-Id"
 LOAD = "X-Instance-Load"
-REQUEST_LIMIT = "Server-Limit"
+REQUEST_LIMIT = "Server-Limit"  # requests a second that the upstream takes
 LEAVING = "Server-Leaving"
 RETRY_AFTER = "Retry-After"
 KEY = "X-Api-Key"
-ORGANISATION = "X-Tenant"
+ORGANISATION = "X-Tenant"  # name of the organisation, not its key
 STAMP = "X-Response-Stamp"
 WEIGHT_VERSIONS = "X-Weight-Versions"
 
@@ -37,9 +40,9 @@
         "expect",
     }
 )
-"""Headers that concern one connection, or that are written anew with the body."""
+"""Headers that belong to one connection, or that are set again for the body that is sent."""
 
-OURS = frozenset(
+NOT_FORWARDED = frozenset(
     name.lower()
     for name in (
         DEADLINE,
@@ -56,10 +59,10 @@
         "Kv-Fetch",
     )
 )
-"""Headers that only the system sets towards an engine, and the key, which ends here; a client's own
-are not passed on."""
+"""Request headers that are not forwarded from clients: those that only this system sets towards
+upstreams, and the API key, which must not leave the gateway."""
 
-ANSWERED = (
+ANSWER_HEADERS = (
     REQUEST_ID,
     NOT_EXECUTED,
     INSTANCE,
@@ -69,4 +72,4 @@
     STAMP,
     WEIGHT_VERSIONS,
 )
-"""Headers of answers that we read, and the two that are for clients alone."""
+"""Headers of answers that the gateway reads, and the two that are meant for clients only."""
--- a/chestnutfall/platform/listening.py
+++ b/chestnutfall/platform/listening.py
@@ -1,4 +1,4 @@
-"""Opening a listening socket for an HTTP server."""
+"""Listening sockets of the platform's HTTP servers."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 from ..wire.http_listener import listen as listen_on
 
 BACKLOG = 1024
-"""A balancer that lost half of its hosts sends their clients to the others within one second."""
+"""Connections that may wait to be accepted. A load balancer that lost half of its hosts moves their
+clients to the other hosts within one second."""
 
 
 async def listen(server: web.Server, address: str) -> web.ServerRunner:
-    """Serve `server` on `address` until the runner is cleaned up."""
+    """Serve `server` on `address`, an IP and port, until the returned runner is cleaned up."""
     runner = web.ServerRunner(server)
     await listen_on(runner, address, BACKLOG)
     return runner
--- a/chestnutfall/platform/metrics_server.py
+++ b/chestnutfall/platform/metrics_server.py
@@ -1,4 +1,4 @@
-"""Counters and histograms as text."""
+"""HTTP server for metrics."""
 
 from __future__ import annotations
 
@@ -13,10 +13,13 @@
 async def serve_metrics(
     metrics: Histograms, address: str, refresh: Callable[[], None]
 ) -> web.ServerRunner:
-    """Serve `metrics` on `address`; `refresh` brings its gauges up to date first."""
+    """Serve `metrics` as text on `address`, at any path.
 
-    async def on_call(request: web.BaseRequest) -> web.Response:
+    `refresh` is called before each answer, to update gauges.
+    """
+
+    async def on_request(request: web.BaseRequest) -> web.Response:
         refresh()
         return web.Response(text=metrics.text())
 
-    return await listen(web.Server(on_call, access_log=None), address)
+    return await listen(web.Server(on_request, access_log=None), address)
--- a/chestnutfall/platform/node_file.py
+++ b/chestnutfall/platform/node_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file."""
+"""Decoding of the settings file that the platform writes for each host."""
 
 from __future__ import annotations
 
@@ -14,27 +14,34 @@
 
 PATH_VARIABLE = "CHESTNUTFALL_NODE_FILE"
 METRICS_PORT = 9464
-"""Fixed by the deploy file; 9464 is the usual port of Prometheus exporters."""
+"""The same on every host, as the deploy file states; the usual port of Prometheus exporters."""
 
 
 def read_node_file() -> FleetSettings:
-    """Read the file that the platform names in the environment.
+    """Read the settings file, whose path the platform sets in the environment.
 
     Raises
     ------
     KeyError, OSError, ValueError
-        When a field is missing, or the file can't be read.
+        If a field is missing or invalid, or the file can't be read.
     """
     path = Path(os.environ[PATH_VARIABLE])
     return to_settings(tomllib.loads(path.read_text("utf-8")))
 
 
 def to_settings(node: dict[str, Any]) -> FleetSettings:
-    """Translate the fields of the file."""
+    """Decode the fields of the file.
+
+    Raises
+    ------
+    KeyError, ValueError
+        If a field is missing or invalid.
+    """
     listen, bounds = node["listen"], node["bounds"]
-    # "Internal ports" is a range; the system's own protocol needs one port of it.
+    # `internal_ports` is a range; the protocol between daemons uses its first port.
     peer_port = int(node["internal_ports"][0])
-    # "Seeds" are addresses of the operators' interface; our own protocol listens beside it.
+    # `seeds` are addresses of the first controllers' HTTP servers for operators. The protocol
+    # between daemons listens on the same IP, on another port.
     seeds = [split_address(seed)[0] for seed in node["seeds"]]
     return FleetSettings(
         name=node["node_name"],
@@ -61,7 +68,7 @@
 
 
 def _quota_bounds(bounds: dict[str, Any]) -> QuotaBounds:
-    """The bounds on quotas, which deployments without organisations don't name."""
+    """Decode the bounds on quotas; deployments without organisations leave them out."""
     if "quota_window_s" not in bounds:
         return STRICT_QUOTA_BOUNDS
     return QuotaBounds(
--- a/chestnutfall/platform/reset_aware.py
+++ b/chestnutfall/platform/reset_aware.py
@@ -1,4 +1,4 @@
-"""Connections on which a reset never looks like the end of an answer."""
+"""HTTP connections that distinguish a TCP reset from the end of an answer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class ResetAwareConnector(aiohttp.TCPConnector):
-    """A connector whose connections fail an open answer when they are reset."""
+    """Connector whose connections fail an incomplete answer when they are reset.
+
+    It must be created in a running event loop. Parameters are those of `aiohttp.TCPConnector`.
+    """
 
     def __init__(self, **options: Any) -> None:
         super().__init__(**options)
@@ -22,12 +25,12 @@
 
 
 class ResetAwareHandler(ResponseHandler):
-    """Fails the answer before aiohttp takes the end of the connection for its end.
+    """Fails an incomplete answer before aiohttp takes the end of the connection for its end.
 
-    An answer without a length ends with its connection. aiohttp does not ask how that ended, and
-    libuv reports "end of file" when the last bytes and a reset arrive together. Symptom: the
-    first half of a crashed upstream's answer is delivered as a whole one. The socket itself
-    still knows of the reset.
+    An answer without a length ends with its connection. aiohttp does not check how the connection
+    ended, and libuv reports "end of file" when the last bytes and a reset arrive together. Without
+    this class, the first half of a crashed upstream's answer would be delivered as complete. The
+    reset can still be read from the socket, as SO_ERROR.
     """
 
     def eof_received(self) -> None:
@@ -36,14 +39,14 @@
         if sock is not None:
             error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if error:
-                self._fail_open_answer(OSError(error, "reset"))
+                self._fail_incomplete_answer(OSError(error, "reset"))
 
     def connection_lost(self, exc: BaseException | None) -> None:
         if exc is not None:
-            self._fail_open_answer(exc)
+            self._fail_incomplete_answer(exc)
         super().connection_lost(exc)
 
-    def _fail_open_answer(self, exc: BaseException) -> None:
+    def _fail_incomplete_answer(self, exc: BaseException) -> None:
         payload = self._payload
         if payload is not None and not payload.is_eof():
             set_exception(payload, aiohttp.ClientPayloadError(f"reset: {exc!r}"), exc)
--- a/chestnutfall/platform/settings_watch.py
+++ b/chestnutfall/platform/settings_watch.py
@@ -1,4 +1,4 @@
-"""Following changes of the platform's settings file."""
+"""Reloading of the platform's settings file."""
 
 from __future__ import annotations
 
@@ -10,12 +10,22 @@
 from .node_file import read_node_file
 
 log = logging.getLogger(__name__)
-LOOK_MS = 1_000
-"""The file may change without a signal; a read a second costs nothing that shows."""
+POLL_INTERVAL_MS = 1_000
+"""The platform may change the file without sending a signal."""
 
 
 class SettingsWatch:
-    """Tells of changed settings, whether or not a signal announced them."""
+    """Calls `on_change` when the settings file has changed.
+
+    The file is polled, since not every change is followed by SIGHUP.
+
+    Parameters
+    ----------
+    settings : FleetSettings
+        Settings that the program started with.
+    on_change : callable
+        Called with the new settings.
+    """
 
     def __init__(
         self, settings: FleetSettings, clock: Clock, on_change: Callable[[FleetSettings], None]
@@ -25,18 +35,18 @@
         self._on_change = on_change
 
     async def run(self) -> None:
-        """Look at the file again and again, until cancelled."""
+        """Poll the file until cancelled."""
         while True:
-            await self._clock.sleep_ms(LOOK_MS)
-            self.look()
+            await self._clock.sleep_ms(POLL_INTERVAL_MS)
+            self.reload()
 
-    def look(self) -> None:
-        """Read the file now."""
+    def reload(self) -> None:
+        """Read the file now; if it can't be read, keep the settings in force."""
         try:
             settings = read_node_file()
         except (KeyError, OSError, ValueError) as exc:
-            # The file may be half written at this moment; what holds stays in force.
-            log.warning("settings: not readable, kept as they were: %r", exc)
+            # The platform may be writing the file at this moment; the next poll reads it again.
+            log.warning("settings: file not readable, previous settings stay in force: %r", exc)
             return
         if settings != self._settings:
             log.info("settings: reloaded controllers=%s", settings.controllers)
--- a/chestnutfall/platform/standin/__init__.py
+++ b/chestnutfall/platform/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform's side of the wire, for the soak and tests."""
+"""Stand-ins for clients, operators and upstreams of the platform, for soak runs and tests."""
--- a/chestnutfall/platform/standin/client.py
+++ b/chestnutfall/platform/standin/client.py
@@ -1,4 +1,4 @@
-"""A client of the platform that keeps its connections."""
+"""A client of the platform that checks the answers it gets."""
 
 from __future__ import annotations
 
@@ -11,39 +11,40 @@
 from .. import header_names as names
 from .operator import HOST
 from .tenants import KEYS, STEADY
-from .upstream import ENTRY, EVENTS, MODEL, answer_body, stream_event
+from .upstream import ENTRY_HEADER, EVENTS, MODEL, answer_body, stream_event
 
 DEADLINE_MS = 2_500
-NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """What a client saw of one request.
+class ClientResult:
+    """Outcome of one request, as its client sees it.
 
     Attributes
     ----------
     status : int
-        0 when the connection ended without an answer.
-    whole : bool
+        HTTP status; 0 if the connection ended without an answer.
+    complete : bool
         Whether the answer ended as complete.
-    right : bool
-        Whether all that came is a beginning of the one right answer.
+    correct : bool
+        Whether a complete success has exactly the expected body, and an incomplete one the
+        beginning of it. True for every other status.
     organisation : str
-        Whose key it bore.
+        Organisation whose key the request had.
     retry_after_s : float or None
-        When it was told to come back.
+        Value of the answer's Retry-After.
     took_s : float
-        From its sending to the end of its answer.
+        Time from sending the request to the end of its answer.
     reason : str
-        Why it was refused.
+        Body of the answer if its status promises that the request did not run.
     """
 
     request_id: str
     route: str
     status: int
-    whole: bool
-    right: bool
+    complete: bool
+    correct: bool
     organisation: str = STEADY
     retry_after_s: float | None = None
     took_s: float = 0.0
@@ -51,12 +52,12 @@
 
     @property
     def says_not_run(self) -> bool:
-        """Whether the answer promises that the request did not run."""
-        return self.status in NOT_RUN
+        """Whether the status promises that the request did not run."""
+        return self.status in NOT_RUN_STATUSES
 
 
 class StandInClient:
-    """Sends requests to gateways on kept connections."""
+    """Sends requests to gateways on kept connections, with the request ids that `rng` draws."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -64,13 +65,17 @@
 
     async def send(
         self, gateway: str, route: str, content: bytes = b"photo", organisation: str = STEADY
-    ) -> Seen:
-        """Send one request and read its answer."""
+    ) -> ClientResult:
+        """Send one request to the address `gateway` and read its answer.
+
+        Streamed routes name an adapter that `rng` draws.
+        """
         request_id = f"{self._rng.randrange(16**16):016x}"
         headers = {"Host": HOST, names.REQUEST_ID: request_id, names.DEADLINE: str(DEADLINE_MS)}
         headers[names.KEY] = KEYS[organisation]
+        # A forged organisation, which gateways must not forward.
         headers[names.ORGANISATION] = "claimed"
-        headers[ENTRY] = gateway
+        headers[ENTRY_HEADER] = gateway
         streamed = route in ("draft", "long")
         expected = answer_body(request_id)
         if streamed:
@@ -89,14 +94,16 @@
                 async for data in resp.content.iter_any():
                     body += data
         except (aiohttp.ClientError, TimeoutError, OSError):
-            right = status != 200 or expected.startswith(bytes(body))
+            correct = status != 200 or expected.startswith(bytes(body))
             took_s = time.monotonic() - began_s
-            return Seen(request_id, route, status, False, right, organisation, None, took_s)
-        right = status != 200 or bytes(body) == expected
+            return ClientResult(
+                request_id, route, status, False, correct, organisation, None, took_s
+            )
+        correct = status != 200 or bytes(body) == expected
         took_s = time.monotonic() - began_s
-        reason = bytes(body).decode() if status in NOT_RUN else ""
-        return Seen(
-            request_id, route, status, True, right, organisation, retry_after_s, took_s, reason
+        reason = bytes(body).decode() if status in NOT_RUN_STATUSES else ""
+        return ClientResult(
+            request_id, route, status, True, correct, organisation, retry_after_s, took_s, reason
         )
 
     async def close(self) -> None:
--- a/chestnutfall/platform/standin/node_writer.py
+++ b/chestnutfall/platform/standin/node_writer.py
@@ -1,4 +1,4 @@
-"""Settings files as the platform writes them."""
+"""Writer of settings files, in place of the platform."""
 
 from __future__ import annotations
 
@@ -11,17 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class NodePlan:
-    """One daemon on a loopback address.
+    """One gateway or controller on a loopback address.
 
     Attributes
     ----------
-    ip, name : str
     data_folder : str
-        Empty for a gateway.
+        Folder of a controller; empty for a gateway.
     seeds : tuple of str
-        Loopback addresses of the first controllers.
+        Loopback IPs of the first controllers.
     first_start : bool
-        Whether it starts for the first time.
+        Whether the whole system starts for the first time, on empty disks.
     """
 
     ip: str
@@ -33,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """Ports that are the same on every host."""
+    """Ports, the same on every host: for clients, readiness, operators, and between daemons."""
 
     front: int
     ready: int
--- a/chestnutfall/platform/standin/operator.py
+++ b/chestnutfall/platform/standin/operator.py
@@ -1,4 +1,4 @@
-"""Operators of the platform: documents, and what they may read back."""
+"""An operator of the platform, who sends configuration documents and reads them back."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def document(version: int) -> bytes:
-    """A valid document; every version is different."""
+    """Return a valid document; each version has a route of its own."""
     engine = {
         "slots": BATCH,
         "kv_capacity": 100_000,
@@ -44,7 +44,7 @@
 
 
 class StandInOperator:
-    """Sends documents to any controller and reads them back."""
+    """Sends documents to random controllers and reads them back."""
 
     def __init__(self, addresses: list[str], rng: random.Random) -> None:
         self._addresses = addresses
@@ -52,7 +52,7 @@
         self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=1.5))
 
     async def put(self, version: int) -> bool:
-        """Send a document once; whether it was acknowledged."""
+        """Send version `version` once, without a repeat; return whether it was acknowledged."""
         try:
             call = self._session.put(self._url(), data=document(version))
             async with call as resp:
@@ -61,7 +61,7 @@
             return False
 
     async def read(self) -> int | None:
-        """The version that some controller reads back; None without an answer."""
+        """Read the version in force from some controller; None if it does not answer with one."""
         try:
             async with self._session.get(self._url()) as resp:
                 return int((await resp.json())["version"]) if resp.status == 200 else None
--- /dev/null
+++ b/chestnutfall/platform/standin/run_registry.py
@@ -0,0 +1,79 @@
+"""Record of what stand-in upstreams ran, against which soak runs and tests check the product."""
+
+from __future__ import annotations
+
+import time
+from collections import Counter
+from collections.abc import Iterator, Sequence
+from dataclasses import dataclass, field
+
+from .signal_history import SignalHistory
+
+
+def window_counts(times: Sequence[float], length: float) -> Iterator[tuple[float, int]]:
+    """Yield each time, and the number of times in the window of `length` that ends with it.
+
+    `times` must be in ascending order.
+    """
+    first = 0
+    for last, end in enumerate(times):
+        while times[first] <= end - length:
+            first += 1
+        yield end, last - first + 1
+
+
+@dataclass(slots=True)
+class RunRegistry:
+    """What all stand-in upstreams of a deployment ran and signalled.
+
+    Times are those of `time.monotonic`.
+
+    Attributes
+    ----------
+    runs : Counter of str
+        Number of runs of each request id.
+    ends : Counter of bytes
+        Number of upstreams that crashed, by the body of the request that crashed them.
+    violations : list of str
+        Faults of gateways and controllers that upstreams saw.
+    organisations : dict of str to str
+        Organisation of each request id, as the gateway named it to the upstream.
+    run_times_s : dict of str to list of float
+        Times in seconds at which requests of each organisation ran.
+    arrival_times_s : dict of str to list of float
+        Times in seconds at which requests reached each upstream, refused ones included.
+    signals : dict of str to SignalHistory
+        Signals that each upstream sent to gateways, and the requests that followed.
+    """
+
+    runs: Counter[str] = field(default_factory=Counter)
+    ends: Counter[bytes] = field(default_factory=Counter)
+    violations: list[str] = field(default_factory=list)
+    organisations: dict[str, str] = field(default_factory=dict)
+    run_times_s: dict[str, list[float]] = field(default_factory=dict)
+    arrival_times_s: dict[str, list[float]] = field(default_factory=dict)
+    signals: dict[str, SignalHistory] = field(default_factory=dict)
+
+    def note_run(self, request_id: str, organisation: str) -> None:
+        """Record that a request runs."""
+        self.runs[request_id] += 1
+        self.organisations[request_id] = organisation
+        self.run_times_s.setdefault(organisation, []).append(time.monotonic())
+
+    def note_arrival(self, instance: str, gateway: str) -> None:
+        """Record that a request of `gateway` reached an upstream, whether or not it is refused."""
+        self.arrival_times_s.setdefault(instance, []).append(time.monotonic())
+        self.signals_of(instance).note_arrival(gateway)
+
+    def signals_of(self, instance: str) -> SignalHistory:
+        """Return the history of an upstream; creates an empty one if there is none."""
+        return self.signals.setdefault(instance, SignalHistory())
+
+    def max_in_window(self, organisation: str, window_s: float) -> int:
+        """Return the largest number of runs of an organisation in any window of `window_s`."""
+        counts = window_counts(self.run_times_s.get(organisation, []), window_s)
+        return max((count for _, count in counts), default=0)
+
+    def note_violation(self, finding: str) -> None:
+        """Record a fault of a gateway or controller that an upstream saw."""
+        self.violations.append(finding)
--- a/chestnutfall/platform/standin/tenants.py
+++ b/chestnutfall/platform/standin/tenants.py
@@ -1,4 +1,4 @@
-"""Organisations of the stand-in operator's documents, and their keys."""
+"""The organisations in the documents of the stand-in operator, and their keys."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 STEADY, BUSY, LEAVING = "steady", "busy", "leaving"
 KEYS = {STEADY: "key-of-steady-4b1f", BUSY: "key-of-busy-77d0", LEAVING: "key-of-leaving-e93a"}
 LEAVES_AT_VERSION = 12
-"""From this version of the document on, nobody holds the key of the one that leaves."""
+"""From this version of the document on, the key of `LEAVING` is not valid."""
 BUSY_PER_S = 10.0
 BUSY_BURST = 10.0
 
 
 def tenants(version: int) -> list[dict[str, Any]]:
-    """The organisations in version `version` of the document."""
+    """Return the organisations in version `version` of the document, in its JSON form."""
     keys = {name: [key] for name, key in KEYS.items()}
     if version >= LEAVES_AT_VERSION:
         keys[LEAVING] = []
--- a/chestnutfall/platform/upstream_http.py
+++ b/chestnutfall/platform/upstream_http.py
@@ -1,4 +1,4 @@
-"""Requests to upstreams over HTTP."""
+"""HTTP client for forwarding requests to upstreams."""
 
 from __future__ import annotations
 
@@ -17,30 +17,34 @@
 from . import header_names as names
 from .reset_aware import ResetAwareConnector
 
-CONNECT_S = 0.15
-"""A connection takes some ms; a lost opening packet is sent again after a second, later than
+CONNECT_TIMEOUT_S = 0.15
+"""Opening a connection takes a few ms. A lost SYN is sent again only after a second; by then
 another upstream would have answered."""
-IDLE_CONNECTION_S = 1.5
-"""Upstreams close idle connections after whole seconds, the shortest after two."""
-EARLY_ANSWER_BYTES = 16 * 1024
-"""A longer body may still be on its way when the answer ends, so its connection is not kept."""
+IDLE_TIMEOUT_S = 1.5
+"""Less than two seconds, the shortest time after which upstreams close idle connections."""
+MAX_BODY_FOR_REUSE_BYTES = 16 * 1024
+"""Longest request body whose connection is kept: a longer one may not be sent entirely when the
+answer ends."""
 _SIGNALS = SignalHeaders(names.REQUEST_LIMIT, names.LEAVING, names.LOAD)
 _AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 class UpstreamHttp(UpstreamApi):
-    """Two pools: kept connections, and those that serve one request."""
+    """Forwards requests over two pools: kept connections, and connections that serve one request.
+
+    `unread` counts headers of answers that the gateway does not know.
+    """
 
     def __init__(self, unread: UnreadHeaders) -> None:
         self._unread = unread
-        kept = ResetAwareConnector(limit=0, keepalive_timeout=IDLE_CONNECTION_S)
-        self._kept = _session(kept)
-        self._fresh = _session(ResetAwareConnector(limit=0, force_close=True))
+        connector = ResetAwareConnector(limit=0, keepalive_timeout=IDLE_TIMEOUT_S)
+        self._kept_session = _new_session(connector)
+        self._single_use_session = _new_session(ResetAwareConnector(limit=0, force_close=True))
 
     @asynccontextmanager
     async def send(self, forwarded: ForwardedCall) -> AsyncIterator[UpstreamAnswer]:
         call = forwarded.call
-        session = self._fresh if forwarded.fresh else self._kept
+        session = self._single_use_session if forwarded.fresh else self._kept_session
         request = session.request(
             call.method,
             URL(f"http://{forwarded.upstream.address}{call.target}", encoded=True),
@@ -49,13 +53,13 @@
             skip_auto_headers=_AUTO_HEADERS,
             allow_redirects=False,
             timeout=aiohttp.ClientTimeout(
-                total=None, sock_connect=CONNECT_S, sock_read=forwarded.silent_ms / 1000
+                total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=forwarded.silent_ms / 1000
             ),
         )
         try:
             async with request as resp:
-                if not _is_ours(resp, call.request_id):
-                    # An answer to an earlier request of this connection came late or twice.
+                if not _answers_request(resp, call.request_id):
+                    # A late or repeated answer to an earlier request on this connection.
                     resp.close()
                     raise AnswerLost("answer_of_another")
                 self._unread.note(forwarded.upstream.service, resp.headers)
@@ -66,7 +70,7 @@
                     read_signals(resp.status, resp.headers, _SIGNALS),
                     _body(resp),
                 )
-                if len(call.body) > EARLY_ANSWER_BYTES:
+                if len(call.body) > MAX_BODY_FOR_REUSE_BYTES:
                     resp.close()
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
             raise NotSent(str(exc)) from exc
@@ -79,15 +83,16 @@
 
     async def close(self) -> None:
         """Close every connection."""
-        await self._kept.close()
-        await self._fresh.close()
+        await self._kept_session.close()
+        await self._single_use_session.close()
 
 
-def _session(connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
+def _new_session(connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
     return single_send_session(connector, cookie_jar=aiohttp.DummyCookieJar(), read_bufsize=2**18)
 
 
 def _headers(forwarded: ForwardedCall) -> CIMultiDict[str]:
+    """Headers of the client, and those that the system sets towards upstreams."""
     headers: CIMultiDict[str] = CIMultiDict(forwarded.call.headers)
     headers[names.DEADLINE] = str(forwarded.left_ms)
     headers[names.EXPECTED_INSTANCE] = forwarded.upstream.announced_name
@@ -102,13 +107,17 @@
     return headers
 
 
-def _is_ours(resp: aiohttp.ClientResponse, request_id: str) -> bool:
-    """Whether the answer names our request; only refusals may name none."""
+def _answers_request(resp: aiohttp.ClientResponse, request_id: str) -> bool:
+    """Whether an answer belongs to the request `request_id`; only a failure may name no request."""
     named = resp.headers.get(names.REQUEST_ID)
     return named == request_id or (named is None and resp.status >= 300)
 
 
 def _not_run(resp: aiohttp.ClientResponse, forwarded: ForwardedCall) -> NotRun | None:
+    """Return the upstream's proof that it did not run the request, if the answer contains one.
+
+    Status 421 comes from another incarnation, or from an engine without the adapter.
+    """
     if resp.status == 421:
         expected = forwarded.upstream.announced_name
         other = resp.headers.get(names.INSTANCE, expected)
--- a/chestnutfall/platform/upstream_json.py
+++ b/chestnutfall/platform/upstream_json.py
@@ -1,4 +1,4 @@
-"""What upstreams say of themselves, as JSON."""
+"""Decoding of the JSON messages in which upstreams report their own state."""
 
 from __future__ import annotations
 
@@ -10,51 +10,64 @@
 from ..coordination.relay_messages import Announce, Depart
 from ..placement import AdapterName, EngineReport
 
-MOST_CHARACTERS = 256
-"""Several times the longest name seen; names are kept in the log and sent to every gateway."""
-MOST_COUNT = 2**53
-"""Counts and times beyond it are not whole in every JSON reader."""
-MOST_ENTRIES = 4_096
-"""Far more models and adapters than an engine holds; bounds what one announcement costs."""
+MAX_NAME_CHARACTERS = 256
+"""Several times the longest name in use. Names are kept in the replicated log and sent to every
+gateway."""
+MAX_COUNT = 2**53
+"""Largest integer that every JSON reader represents exactly."""
+MAX_ENTRIES = 4_096
+"""Of a list; far more models and adapters than an engine holds. Bounds the cost of one message."""
 
 _T = TypeVar("_T")
-_Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_CHARACTERS)]
+_Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_CHARACTERS)]
 _Address = Annotated[str, msgspec.Meta(pattern=r"^[0-9.]{7,15}:[0-9]{1,5}$")]
-_Count = Annotated[int, msgspec.Meta(ge=0, le=MOST_COUNT)]
+_Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
 
 
 class UnreadableUpstream(ValueError):
-    """The text is not what an upstream says of itself."""
+    """The message of an upstream is not valid JSON, or one of its fields is missing or invalid.
+
+    Its text is part of the HTTP answer to the upstream.
+    """
 
 
 class _Model(msgspec.Struct):
+    """A base model that an engine holds, with its adapters as NAME@VERSION."""
+
     name: _Name
     version: _Count
-    adapters: Annotated[tuple[_Name, ...], msgspec.Meta(max_length=MOST_ENTRIES)] = ()
+    adapters: Annotated[tuple[_Name, ...], msgspec.Meta(max_length=MAX_ENTRIES)] = ()
 
 
-_Models = Annotated[tuple[_Model, ...], msgspec.Meta(max_length=MOST_ENTRIES)]
+_Models = Annotated[tuple[_Model, ...], msgspec.Meta(max_length=MAX_ENTRIES)]
 
 
 class _Report(msgspec.Struct):
-    seq: _Count = 0  # orders that it accepted since its start
+    """An engine's report of its contents, which the leader asks for."""
+
+    seq: _Count = 0  # orders accepted since its start, not a number of this report
     models: _Models = ()
-    coming: Annotated[tuple[_Name, ...], msgspec.Meta(max_length=MOST_ENTRIES)] = ()
-    born: _Count = 0  # Unix ms of its start
+    # Adapters being loaded, as MODEL/NAME@VERSION.
+    coming: Annotated[tuple[_Name, ...], msgspec.Meta(max_length=MAX_ENTRIES)] = ()
+    born: _Count = 0  # Unix time of its start in ms; 0 if not named
 
 
 class _Announcement(msgspec.Struct):
+    """An upstream's heartbeat."""
+
     service: _Name
-    addr: _Address
-    zone: _Name
-    state: Literal["ready", "draining"]
-    seq: _Count  # announcements of this start, not orders as in a report
-    models: _Models | None = None  # only engines have it
-    born: _Count = 0  # Unix ms of its start
+    addr: _Address  # IP and port
+    zone: _Name  # data centre
+    state: Literal["ready", "draining"]  # draining: it takes no new requests
+    seq: _Count  # number of this announcement since its start, not orders as in a report
+    models: _Models | None = None  # None for services that are not engines
+    born: _Count = 0  # Unix time of its start in ms; 0 if not named
 
 
 class _Departure(msgspec.Struct):
-    born: _Count = 0  # Unix ms of its start
+    """Body of the message that an upstream sends before it exits."""
+
+    born: _Count = 0  # Unix time of its start in ms; 0 if not named
 
 
 _REPORT = msgspec.json.Decoder(_Report)
@@ -63,15 +76,15 @@
 
 
 def read_announcement(name: str, body: bytes) -> Announce:
-    """Translate an announcement of the upstream `name`.
+    """Decode an announcement of the upstream `name`.
 
     Raises
     ------
     UnreadableUpstream
     """
-    wire = _decoded(_ANNOUNCEMENT, body)
+    wire = _decode(_ANNOUNCEMENT, body)
     record = UpstreamRecord(
-        incarnation_key(_checked(name), wire.born),
+        incarnation_key(_checked_name(name), wire.born),
         wire.service,
         wire.addr,
         wire.zone,
@@ -81,65 +94,67 @@
     )
     if wire.models is None:
         return Announce(record, wire.seq, None)
-    return Announce(record, wire.seq, _contents(wire.models, (), 0, wire.born))
+    return Announce(record, wire.seq, _engine_report(wire.models, (), 0, wire.born))
 
 
 def read_departure(name: str, body: bytes) -> Depart:
-    """Translate a departure of the upstream `name`; its body may be empty.
+    """Decode a departure of the upstream `name`; its body may be empty.
 
     Raises
     ------
     UnreadableUpstream
     """
-    wire = _decoded(_DEPARTURE, body) if body else _Departure()
-    return Depart(_checked(name), wire.born)
+    wire = _decode(_DEPARTURE, body) if body else _Departure()
+    return Depart(_checked_name(name), wire.born)
 
 
 def read_report(body: bytes) -> EngineReport:
-    """Translate an engine's report of its contents.
+    """Decode an engine's report of its contents.
 
     Raises
     ------
     UnreadableUpstream
     """
-    wire = _decoded(_REPORT, body)
-    return _contents(wire.models, wire.coming, wire.seq, wire.born)
+    wire = _decode(_REPORT, body)
+    return _engine_report(wire.models, wire.coming, wire.seq, wire.born)
 
 
-def _contents(
+def _engine_report(
     models: tuple[_Model, ...], coming: tuple[str, ...], orders_taken: int, started_ms: int
 ) -> EngineReport:
     try:
         held = {
             AdapterName(model.name, name): version
             for model in models
-            for name, version in map(_adapter, model.adapters)
+            for name, version in map(_adapter_and_version, model.adapters)
         }
-        in_transit = dict(map(_adapter_of_model, coming))
+        loading = dict(map(_model_and_adapter, coming))
     except ValueError as exc:
         raise UnreadableUpstream(f"an adapter is not NAME@VERSION: {exc}") from exc
     versions = {model.name: model.version for model in models}
-    return EngineReport(versions, held, in_transit, orders_taken, started_ms)
+    return EngineReport(versions, held, loading, orders_taken, started_ms)
 
 
-def _adapter(text: str) -> tuple[str, int]:
+def _adapter_and_version(text: str) -> tuple[str, int]:
     name, _, version = text.partition("@")
     return name, int(version or 0)
 
 
-def _adapter_of_model(text: str) -> tuple[AdapterName, int]:
+def _model_and_adapter(text: str) -> tuple[AdapterName, int]:
     model, _, adapter = text.partition("/")
-    name, version = _adapter(adapter)
+    name, version = _adapter_and_version(adapter)
     return AdapterName(model, name), version
 
 
-def _checked(name: str) -> str:
-    if not 0 < len(name) <= MOST_CHARACTERS:
-        raise UnreadableUpstream(f"a name has 1 to {MOST_CHARACTERS} characters, not {len(name)}")
+def _checked_name(name: str) -> str:
+    if not 0 < len(name) <= MAX_NAME_CHARACTERS:
+        raise UnreadableUpstream(
+            f"a name has 1 to {MAX_NAME_CHARACTERS} characters, not {len(name)}"
+        )
     return name
 
 
-def _decoded(decoder: msgspec.json.Decoder[_T], body: bytes) -> _T:
+def _decode(decoder: msgspec.json.Decoder[_T], body: bytes) -> _T:
     try:
         return decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
--- a/chestnutfall/tests/office_play.py
+++ b/chestnutfall/tests/office_play.py
@@ -13,9 +13,9 @@
 
 from soak.office import Office
 
-from ..platform.standin.client import Seen, StandInClient
+from ..platform.standin.client import ClientResult, StandInClient
 from ..platform.standin.operator import ENGINES, PLAIN, StandInOperator
-from ..platform.standin.signal_history import Disobeyed
+from ..platform.standin.signal_history import RequestsAfterSignal
 from ..platform.standin.upstream import StandInUpstream
 
 CALLERS = 14
@@ -28,7 +28,7 @@
     """What a caller got, and when it had sent its request."""
 
     sent_s: float
-    seen: Seen
+    seen: ClientResult
 
 
 @dataclass(slots=True)
@@ -86,22 +86,22 @@
     def served(self, from_s: float, until_s: float = float("inf")) -> float:
         """Part of the calls sent in a time that got a success."""
         sent = [one.seen for one in self.answers if from_s <= one.sent_s < until_s]
-        return sum(seen.status == 200 and seen.whole for seen in sent) / max(len(sent), 1)
+        return sum(seen.status == 200 and seen.complete for seen in sent) / max(len(sent), 1)
 
-    def refused(self, from_s: float, until_s: float) -> list[Seen]:
+    def refused(self, from_s: float, until_s: float) -> list[ClientResult]:
         """Calls sent in a time that were refused as not run."""
         sent = (one.seen for one in self.answers if from_s <= one.sent_s < until_s)
         return [seen for seen in sent if seen.says_not_run]
 
-    def in_backoffs(self) -> Iterator[Disobeyed]:
+    def in_backoffs(self) -> Iterator[RequestsAfterSignal]:
         """What came while upstreams wanted nothing."""
         for history in self.office.book.signals.values():
-            yield from history.in_backoffs()
+            yield from history.requests_in_backoffs()
 
-    def after_leaving(self) -> Iterator[Disobeyed]:
+    def after_leaving(self) -> Iterator[RequestsAfterSignal]:
         """What came to upstreams that leave."""
         for history in self.office.book.signals.values():
-            yield from history.after_leaving()
+            yield from history.requests_after_leaving()
 
 
 async def ask_for_time(upstreams: list[StandInUpstream], backoff: str, for_s: float) -> None:
--- a/chestnutfall/tests/test_fatal_requests.py
+++ b/chestnutfall/tests/test_fatal_requests.py
@@ -19,7 +19,7 @@
 from soak.fatal_requests import CONTENTS, LATER_ENDS, FatalRequests
 from soak.office import Office
 
-from ..platform.standin.client import Seen, StandInClient
+from ..platform.standin.client import ClientResult, StandInClient
 from ..platform.standin.operator import StandInOperator
 
 TRIES = 12
@@ -54,7 +54,7 @@
 
     async def _check(self, route: str) -> None:
         ends = await self.fatal.until_known(route)
-        seen: list[Seen] = []
+        seen: list[ClientResult] = []
         while len(seen) < TRIES:
             seen += await self.fatal.everywhere(route)
         self.assertLessEqual(self.fatal.ends(route) - ends, LATER_ENDS)
--- a/chestnutfall/tests/test_limited_completions.py
+++ b/chestnutfall/tests/test_limited_completions.py
@@ -19,7 +19,7 @@
     def _declare(self, number: int, per_s: float = LIMIT_PER_S) -> int:
         """Let an engine declare a limit; return the clock time."""
         self.office.engine(number).limit = f"{per_s}"
-        self.history.name(self.office.clock.now_ms(), per_s)
+        self.history.note_limit(self.office.clock.now_ms(), per_s)
         return self.office.clock.now_ms()
 
     def _check(self, number: int) -> None:
--- a/chestnutfall/tests/test_limits_together.py
+++ b/chestnutfall/tests/test_limits_together.py
@@ -26,7 +26,7 @@
 
     def declare(self, per_s: float, text: str = "") -> None:
         """Declare a limit from now on; `text` replaces the header's value."""
-        self.history.name(self._office.limit(self.instance, text or f"{per_s}"), per_s)
+        self.history.note_limit(self._office.limit(self.instance, text or f"{per_s}"), per_s)
 
     @property
     def began_ms(self) -> int:
@@ -41,7 +41,7 @@
     def used(self, from_ms: int) -> float:
         """Fraction of the current limit that was used since `from_ms`."""
         sent = sum(at_ms >= from_ms for at_ms in self.arrivals())
-        per_s = self.history.named[-1][1]
+        per_s = self.history.announced[-1][1]
         return sent / (per_s * (self._office.clock.now_ms() - from_ms) / 1000)
 
 
@@ -93,7 +93,7 @@
         await office.play(6_000, RATES)
         for limits in found:
             self._check(limits)
-            self.assertGreaterEqual(limits.used(int(limits.history.named[-1][0]) + 1_500), MIN_USED)
+            self.assertGreaterEqual(limits.used(int(limits.history.announced[-1][0]) + 1_500), MIN_USED)
 
     # Guards against upstreams that get no requests after their limit ended.
     async def test_a_limit_that_ended_holds_nobody_back(self) -> None:
--- a/chestnutfall/tests/test_named_limits.py
+++ b/chestnutfall/tests/test_named_limits.py
@@ -30,11 +30,11 @@
         for upstream in play.one_of_each():
             upstream.limit = f"{LIMIT_PER_S}"
         self.history = LimitHistory()
-        self.history.name(time.monotonic() * 1000, LIMIT_PER_S)
+        self.history.note_limit(time.monotonic() * 1000, LIMIT_PER_S)
         await asyncio.sleep(LOAD_S)
 
     def _check(self, upstream: StandInUpstream) -> None:
-        arrivals = self.play.office.book.arrivals[upstream.instance]
+        arrivals = self.play.office.book.arrival_times_s[upstream.instance]
         moments = [at_s * 1000 for at_s in arrivals]
         self.assertEqual(list(self.history.excesses(moments)), [])
         used = sum(at_ms >= self.history.began_ms + SETTLE_MS for at_ms in moments)
--- a/chestnutfall/tests/test_named_signals.py
+++ b/chestnutfall/tests/test_named_signals.py
@@ -6,7 +6,7 @@
 import time
 import unittest
 
-from ..platform.standin.signal_history import DRAIN_S, MOST_IN_BACKOFF, SETTLE_S
+from ..platform.standin.signal_history import DRAIN_S, MAX_IN_BACKOFF, SETTLE_S
 from .office_play import OfficePlay, ask_for_time
 
 BACKOFF_S = 3.0
@@ -68,4 +68,4 @@
     def _check_backoffs(self, play: OfficePlay) -> None:
         asked = list(play.in_backoffs())
         self.assertGreater(len(asked), 0)
-        self.assertEqual([one for one in asked if one.got > MOST_IN_BACKOFF], [])
+        self.assertEqual([one for one in asked if one.got > MAX_IN_BACKOFF], [])
--- a/chestnutfall/tests/test_platform.py
+++ b/chestnutfall/tests/test_platform.py
@@ -93,7 +93,7 @@
         self.runner = await listen(web.Server(self._on_call), "127.0.0.1:0")
         self.port = self.runner.addresses[0][1]
         self.counts: Counter[str] = Counter()
-        unread = UnreadHeaders(names.ANSWERED, lambda name: self.counts.update([name]))
+        unread = UnreadHeaders(names.ANSWER_HEADERS, lambda name: self.counts.update([name]))
         self.api = UpstreamHttp(unread)
 
     async def asyncTearDown(self) -> None:
--- a/chestnutfall/tests/test_upstream_json.py
+++ b/chestnutfall/tests/test_upstream_json.py
@@ -17,7 +17,7 @@
 from ..coordination.relay_messages import Announce, Depart
 from ..placement import AdapterName, EngineReport
 from ..platform.upstream_json import (
-    MOST_CHARACTERS,
+    MAX_NAME_CHARACTERS,
     UnreadableUpstream,
     read_announcement,
     read_departure,
@@ -69,7 +69,7 @@
             {"born": None},
             {"addr": "nowhere"},
             {"addr": ["127.0.0.1:1"]},
-            {"service": "x" * (MOST_CHARACTERS + 1)},
+            {"service": "x" * (MAX_NAME_CHARACTERS + 1)},
             {"models": "base"},
             {"models": [{"name": "base"}]},
             {"models": [{"name": "base", "version": 1, "adapters": ["a1@x"]}]},
@@ -79,7 +79,7 @@
                 _read(TOLD | change)
 
     def test_a_name_of_any_length_is_not_taken(self) -> None:
-        for name in ("", "i" * (MOST_CHARACTERS + 1)):
+        for name in ("", "i" * (MAX_NAME_CHARACTERS + 1)):
             with self.subTest(len(name)), self.assertRaises(UnreadableUpstream):
                 _read(TOLD, name)
 
--- a/soak/fatal_requests.py
+++ b/soak/fatal_requests.py
@@ -5,7 +5,7 @@
 import asyncio
 import random
 
-from chestnutfall.platform.standin.client import Seen, StandInClient
+from chestnutfall.platform.standin.client import ClientResult, StandInClient
 from chestnutfall.platform.standin.upstream import FATAL_BODY
 
 from .office import Office
@@ -33,7 +33,7 @@
         self._office = office
         self._client = client
 
-    async def now_and_then(self, rng: random.Random, seen: list[Seen]) -> None:
+    async def now_and_then(self, rng: random.Random, seen: list[ClientResult]) -> None:
         """Send one or the other to some gateway again and again, until cancelled."""
         while True:
             await asyncio.sleep(rng.uniform(0.3, 1.2))
@@ -48,7 +48,7 @@
         await asyncio.sleep(LEARN_S)
         return self.ends(route)
 
-    async def everywhere(self, route: str) -> list[Seen]:
+    async def everywhere(self, route: str) -> list[ClientResult]:
         """Send it once to each gateway, each time when upstreams are back."""
         seen = []
         for gateway in self._office.gateways:
--- a/soak/named_limits.py
+++ b/soak/named_limits.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from chestnutfall.platform.standin.limit_history import LimitHistory
-from chestnutfall.platform.standin.run_book import RunBook
+from chestnutfall.platform.standin.run_registry import RunRegistry
 from chestnutfall.platform.standin.upstream import StandInUpstream
 
 from .office import Office
@@ -44,21 +44,21 @@
         try:
             for _ in range(2):
                 upstream.limit = f"{per_s:.1f}"
-                history.name(_now_ms(), per_s)
+                history.note_limit(_now_ms(), per_s)
                 await asyncio.sleep(rng.uniform(2.0, 4.0))
                 per_s /= 3
         finally:
             upstream.limit = None
             self._episodes.append(_Episode(instance, history, _now_ms()))
 
-    def judge(self, book: RunBook, verdict: Verdict) -> None:
+    def judge(self, book: RunRegistry, verdict: Verdict) -> None:
         """Whether anybody got more than it said it takes."""
         verdict.counts["limits named"] = len(self._episodes)
         for one in self._episodes:
-            moments = [at_s * 1000 for at_s in book.arrivals.get(one.instance, [])]
+            moments = [at_s * 1000 for at_s in book.arrival_times_s.get(one.instance, [])]
             in_time = [at_ms for at_ms in moments if at_ms <= one.end_ms]
             for excess in one.history.excesses(in_time):
-                limits = [f"{per_s:.1f}" for _, per_s in one.history.named]
+                limits = [f"{per_s:.1f}" for _, per_s in one.history.announced]
                 finding = f"{one.instance} named {limits} a second and got {excess.got} in a window"
                 verdict.note(True, f"{finding} of {excess.allowed:.0f}")
                 break
--- a/soak/office.py
+++ b/soak/office.py
@@ -10,7 +10,7 @@
 
 from chestnutfall.platform.standin.node_writer import NodePlan, Ports
 from chestnutfall.platform.standin.operator import ENGINES, PLAIN
-from chestnutfall.platform.standin.run_book import RunBook
+from chestnutfall.platform.standin.run_registry import RunRegistry
 from chestnutfall.platform.standin.upstream import StandInUpstream
 
 from .daemon import Daemon
@@ -28,7 +28,7 @@
         self._rng = rng
         # Two draws that earlier runs spent on addresses: seeds that ever failed play as they did.
         rng.randrange(20, 120), rng.randrange(1, 250)
-        self.book = RunBook()
+        self.book = RunRegistry()
         net = _own_net()
         self._ports = Ports(*_free_ports(4))
         ips = [f"{net}.{at + 1}" for at in range(CONTROLLERS)]
@@ -70,7 +70,7 @@
         await upstream.start()
         relay = Relay(upstream.address)
         await relay.start()
-        upstream.announced = relay.address
+        upstream.announced_address = relay.address
         upstream.on_end, upstream.on_start = relay.refuse, relay.start
         upstream.announce()
         self.upstreams.append(upstream)
--- a/soak/organisations.py
+++ b/soak/organisations.py
@@ -6,9 +6,9 @@
 import random
 from pathlib import Path
 
-from chestnutfall.platform.standin.client import Seen, StandInClient
+from chestnutfall.platform.standin.client import ClientResult, StandInClient
 from chestnutfall.platform.standin.node_writer import QUOTA_OVER, QUOTA_SLACK, QUOTA_WINDOW_S
-from chestnutfall.platform.standin.run_book import RunBook
+from chestnutfall.platform.standin.run_registry import RunRegistry
 from chestnutfall.platform.standin.tenants import BUSY, BUSY_BURST, BUSY_PER_S, KEYS, LEAVING
 
 from .office import Office
@@ -28,7 +28,7 @@
         self._office = office
         self._client = client
 
-    async def keep_asking(self, rng: random.Random, seen: list[Seen]) -> None:
+    async def keep_asking(self, rng: random.Random, seen: list[ClientResult]) -> None:
         """Send for the one or the other again and again, until cancelled."""
         while True:
             await asyncio.sleep(PAUSE_S)
@@ -47,9 +47,9 @@
                 await asyncio.sleep(POLL_S)
             verdict.note(seen.status != 401, f"{gateway.plan.name} takes a key that is gone")
 
-    def judge_quota(self, book: RunBook, verdict: Verdict) -> None:
+    def judge_quota(self, book: RunRegistry, verdict: Verdict) -> None:
         """Whether any window has more runs of the busy organisation than may be."""
-        most = book.most_in_window(BUSY, QUOTA_WINDOW_S)
+        most = book.max_in_window(BUSY, QUOTA_WINDOW_S)
         bound = (BUSY_PER_S * QUOTA_WINDOW_S + BUSY_BURST) * (1 + QUOTA_OVER) + QUOTA_SLACK
         verdict.counts["most runs of the busy one in a window"] = most
         verdict.note(most > bound, f"{most} runs of the busy organisation; {bound:g} may be")
--- a/soak/soak_run.py
+++ b/soak/soak_run.py
@@ -6,7 +6,7 @@
 import random
 from pathlib import Path
 
-from chestnutfall.platform.standin.client import Seen, StandInClient
+from chestnutfall.platform.standin.client import ClientResult, StandInClient
 from chestnutfall.platform.standin.operator import StandInOperator
 from chestnutfall.platform.standin.tenants import LEAVES_AT_VERSION
 
@@ -46,7 +46,7 @@
         self._limits = NamedLimits(self._office)
         self._disturbances = Disturbances()
         self._words = SpokenWords(self._office, self._disturbances)
-        self._seen: list[Seen] = []
+        self._seen: list[ClientResult] = []
         self._acknowledged = 0
         self.verdict = Verdict()
 
@@ -123,7 +123,7 @@
             gateway = self._office.front(self._rng.choice(self._office.gateways))
             seen = await client.send(gateway, self._rng.choice(ROUTES))
             self._seen.append(seen)
-            self.verdict.counts[f"status {seen.status}{'' if seen.whole else ' cut'}"] += 1
+            self.verdict.counts[f"status {seen.status}{'' if seen.complete else ' cut'}"] += 1
             await asyncio.sleep(self._rng.uniform(0.0, 0.05))
 
     async def _operate(self, operator: StandInOperator) -> None:
@@ -182,17 +182,17 @@
 
     def _judge(self) -> None:
         book = self._office.book
-        for finding in book.wrong:
+        for finding in book.violations:
             self.verdict.note(True, finding)
         for seen in self._seen:
             runs = book.runs[seen.request_id]
             what = f"{seen.route} {seen.request_id} status {seen.status}, {runs} runs"
-            self.verdict.note(not seen.right, f"wrong bytes: {what}")
+            self.verdict.note(not seen.correct, f"wrong bytes: {what}")
             once = seen.route in ONCE_ROUTES
             self.verdict.note(once and runs > 1, f"ran more than once: {what}")
             self.verdict.note(seen.says_not_run and runs > 0, f"called not run: {what}")
             told = book.organisations.get(seen.request_id, seen.organisation)
             self.verdict.note(told != seen.organisation, f"told as one of {told}: {what}")
-        answered = sum(seen.status == 200 and seen.whole for seen in self._seen)
+        answered = sum(seen.status == 200 and seen.complete for seen in self._seen)
         self.verdict.counts["answered"] = answered
         self.verdict.note(answered == 0, "nothing was answered")
--- a/soak/spoken_words.py
+++ b/soak/spoken_words.py
@@ -8,7 +8,7 @@
 
 from chestnutfall.platform.standin.signal_history import (
     DRAIN_S,
-    MOST_IN_BACKOFF,
+    MAX_IN_BACKOFF,
     SETTLE_S,
     SignalHistory,
 )
@@ -50,14 +50,14 @@
     async def _fall_silent(self) -> None:
         for one in self._office.upstreams:
             one.backoff = None
-            if one.leaving or one.drains:
+            if one.leaving or one.announces_draining:
                 await one.restart()
 
     async def _episode(self, rng: random.Random) -> None:
         upstream = rng.choice(self._office.upstreams)
         others = [one for one in self._office.upstreams if one.service == upstream.service]
         if rng.random() < LEAVING_PART:
-            if not any(one.leaving or one.drains for one in others):
+            if not any(one.leaving or one.announces_draining for one in others):
                 await self._leave(upstream, rng)
             return
         await self._ask(others if rng.random() < ALL_PART else [upstream], rng)
@@ -67,7 +67,7 @@
         self._asked += 1
         try:
             for one in upstreams:
-                one.backoff, one.proves = text, rng.random() < 0.7
+                one.backoff, one.marks_not_executed = text, rng.random() < 0.7
             await asyncio.sleep(rng.uniform(0.2, 2.0))
         finally:
             for one in upstreams:
@@ -76,7 +76,9 @@
     async def _leave(self, upstream: StandInUpstream, rng: random.Random) -> None:
         self._left += 1
         # Some say it in their answers only, some in their announcements only, some in both.
-        upstream.leaving, upstream.drains = rng.choice(((True, False), (False, True), (True, True)))
+        upstream.leaving, upstream.announces_draining = rng.choice(
+            ((True, False), (False, True), (True, True))
+        )
         await asyncio.sleep(rng.uniform(DRAIN_S + 1.0, DRAIN_S + 3.0))
         await upstream.restart()
 
@@ -91,21 +93,21 @@
                 verdict.note(True, f"{instance}: {finding}")
 
     def _findings(self, history: SignalHistory) -> Iterator[str]:
-        for one in history.turned_away:
+        for one in history.backoff_refusals:
             until_s = one.at_s + one.backoff_s
-            got = history.within(one.gateway, one.at_s + SETTLE_S, until_s)
-            if got > MOST_IN_BACKOFF and not self._is_excused(
+            got = history.count_between(one.gateway, one.at_s + SETTLE_S, until_s)
+            if got > MAX_IN_BACKOFF and not self._is_excused(
                 history, one.gateway, one.at_s, until_s
             ):
                 yield f"{one.gateway} sent {got} within {one.backoff_s} s that it asked for"
-        for gateway, moments_s in history.left.items():
+        for gateway, moments_s in history.leaving_answers_s.items():
             yield from self._after_leaving(history, gateway, moments_s)
 
     def _after_leaving(
         self, history: SignalHistory, gateway: str, moments_s: list[float]
     ) -> Iterator[str]:
         for told_s in moments_s:
-            got = history.within(gateway, told_s + DRAIN_S + SETTLE_S, FOR_EVER)
+            got = history.count_between(gateway, told_s + DRAIN_S + SETTLE_S, FOR_EVER)
             if got and not self._is_excused(history, gateway, told_s, FOR_EVER):
                 yield f"{gateway} sent {got} later than {DRAIN_S} s after it said that it leaves"
                 return
