--- a/chestnutfall/programs/plain.py
+++ b/chestnutfall/programs/plain.py
@@ -13,7 +13,7 @@
 from ..plain_edge.plain_answer import EXECUTED_HEADER, EXECUTED_NO
 from ..settings.plain_settings import PlainSettings
 from ..standin.announcer import Announcer
-from ..standin.spoken_words import SpokenWords
+from ..standin.scripted_headers import ScriptedHeaders
 from ..wire.http_listener import listen
 from .event_loop import run
 from .runner import load_settings, parser
@@ -29,10 +29,10 @@
 async def _serve(settings: PlainSettings, stop: asyncio.Event) -> int:
     incarnation = uuid.uuid4().hex
     calls: Counter[str] = Counter()
-    words = SpokenWords()
+    words = ScriptedHeaders()
 
     async def answer(request: web.Request) -> web.Response:
-        if words.turns_away():
+        if words.refuses_request():
             headers = {EXECUTED_HEADER: EXECUTED_NO}
             return web.json_response({"error": "asks for time"}, status=503, headers=headers)
         calls[f"{request.method} {request.path}"] += 1
--- a/chestnutfall/standin/__init__.py
+++ b/chestnutfall/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems: engines and a plain service."""
+"""Stand-ins for upstreams, for demos, benchmarks and tests: an engine and a plain service."""
--- a/chestnutfall/standin/announcer.py
+++ b/chestnutfall/standin/announcer.py
@@ -1,4 +1,4 @@
-"""How stand-ins announce themselves."""
+"""Announcements of stand-in upstreams to gateways."""
 
 from __future__ import annotations
 
@@ -10,7 +10,17 @@
 
 
 class Announcer:
-    """Posts announcements to every gateway, again and again."""
+    """Posts announcements to every gateway.
+
+    Parameters
+    ----------
+    addresses : iterable of str
+        Addresses at which gateways listen for announcements.
+    key_file : str
+        File with the key of the service.
+    announcement : callable
+        Returns the JSON object to send now.
+    """
 
     def __init__(
         self, addresses: Iterable[str], key_file: str, announcement: Callable[[], dict[str, Any]]
@@ -21,14 +31,14 @@
         self._announcement = announcement
 
     async def run(self, every_ms: int) -> None:
-        """Announce until cancelled."""
+        """Announce every `every_ms` until cancelled."""
         async with aiohttp.ClientSession(trust_env=False) as session:
             while True:
                 await self.once(session)
                 await asyncio.sleep(every_ms / 1000)
 
     async def once(self, session: aiohttp.ClientSession) -> None:
-        """Announce to every gateway, without waiting for the slowest longer than 300 ms."""
+        """Announce to every gateway once; gives up on those that do not answer within 300 ms."""
         await asyncio.gather(*(self._post(session, url) for url in self._urls))
 
     async def _post(self, session: aiohttp.ClientSession, url: str) -> None:
--- a/chestnutfall/standin/engine_app.py
+++ b/chestnutfall/standin/engine_app.py
@@ -1,4 +1,4 @@
-"""HTTP face of the stand-in engine."""
+"""HTTP interface of the stand-in engine."""
 
 from __future__ import annotations
 
@@ -11,24 +11,36 @@
 
 from .engine_core import EngineCore
 from .run import Run
-from .spoken_words import SpokenWords
+from .scripted_headers import ScriptedHeaders
 
 DEFAULT_TOKENS = 16
+"""Tokens generated for a request without `max_tokens`."""
 FATAL_PROMPT = "a fatal one"
-"""Ends each engine that runs it, as an input does that a real engine does not bear."""
+"""A prompt that crashes each engine that runs it, as a faulty input may crash a real one."""
 FATAL_EXIT = 70
+"""Exit code of an engine that crashed."""
 
 
 class EngineApp:
-    """OpenAI API with run ids, orders, reports, and a page to script faults."""
+    """OpenAI API, with run ids to resume and cancel runs, orders, reports, and scripted faults.
+
+    `POST /standin/faults` adds faults by name, each with the number of times that it occurs:
+    "silent", "reset", "wrong_model", "wrong_answer", "short_answer", and for streams "gap",
+    "duplicate", "mid_reset" and "mid_silent". The core adds "load_failure".
+
+    Attributes
+    ----------
+    leaving : bool
+        Whether the engine announces that it leaves; it goes on to serve requests.
+    """
 
     def __init__(self, core: EngineCore) -> None:
         self._core = core
-        self._words = SpokenWords()
+        self._scripted_headers = ScriptedHeaders()
         self.leaving = False
 
     def build(self) -> web.Application:
-        """The aiohttp application."""
+        """Build the aiohttp application."""
         app = web.Application()
         app.router.add_post("/v1/chat/completions", self._complete)
         app.router.add_post("/v1/completions", self._complete)
@@ -38,12 +50,12 @@
         app.router.add_post("/v1/orders", self._order)
         app.router.add_post("/standin/faults", self._faults)
         app.router.add_get("/standin/counts", self._counts)
-        self._words.attach(app)
+        self._scripted_headers.attach(app)
         return app
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
-        if self._words.turns_away():
+        if self._scripted_headers.refuses_request():
             return _error(503, "overloaded", "asks for time", ran=False)
         model = str(body["model"])
         if self._core.adapters.get(model) != "ready":
@@ -71,7 +83,7 @@
         if run.cancelled:
             return _error(500, "run_cancelled", "the run was cancelled", ran=True)
         wrong = self._core.take_fault("wrong_model")
-        answer = run.whole("another@1+0" if wrong else model)
+        answer = run.whole_answer("another@1+0" if wrong else model)
         if self._core.take_fault("wrong_answer"):
             answer["id"] = "cmpl-somebody-else"
         if self._core.take_fault("short_answer"):
@@ -84,7 +96,7 @@
         sent = after
         while True:
             while sent < len(run.events):
-                data = self._faulty(run.events[sent])
+                data = self._with_fault(run.events[sent])
                 sent += 1
                 if sent == 3 and self._core.take_fault("short_answer"):
                     return resp
@@ -106,7 +118,8 @@
             run.changed.clear()
             await run.changed.wait()
 
-    def _faulty(self, data: bytes) -> bytes:
+    def _with_fault(self, data: bytes) -> bytes:
+        """Return an event, changed if a fault is due."""
         if data != b"[DONE]" and self._core.take_fault("wrong_model"):
             return json.dumps(json.loads(data) | {"model": "another@1+0"}).encode()
         if data != b"[DONE]" and self._core.take_fault("wrong_answer"):
@@ -144,7 +157,9 @@
         return web.json_response(dict(self._core.faults))
 
     async def _counts(self, request: web.Request) -> web.Response:
-        return web.json_response(self._core.counts | {"turned_away": self._words.turned_away})
+        return web.json_response(
+            self._core.counts | {"turned_away": self._scripted_headers.refusals}
+        )
 
 
 def _error(status: int, code: str, message: str, ran: bool) -> web.Response:
@@ -153,6 +168,7 @@
 
 
 async def _cut_short(request: web.Request, body: bytes) -> web.StreamResponse:
+    """Announce the whole length, send half of the body, and close the connection."""
     resp = web.StreamResponse(headers={"Content-Length": str(len(body))})
     await resp.prepare(request)
     await resp.write(body[: len(body) // 2])
--- a/chestnutfall/standin/engine_core.py
+++ b/chestnutfall/standin/engine_core.py
@@ -1,4 +1,4 @@
-"""Slots, batch and fencing of the stand-in engine."""
+"""Adapter slots, batch and fencing of the stand-in engine."""
 
 from __future__ import annotations
 
@@ -8,17 +8,42 @@
 
 from .run import Run
 
-KEEP_RUNS = 512
+MAX_KEPT_RUNS = 512
+"""Runs kept for resumption; the oldest ended runs are dropped first."""
 
 
 class EngineCore:
     """A continuous batch over a few adapter slots.
 
-    It obeys: an unload of an adapter in use breaks the runs on it, so that an eviction that
-    should not have been ordered can be seen.
+    The unload of an adapter in use is carried out and breaks its runs, so that tests notice an
+    eviction that should not have been ordered.
+
+    Parameters
+    ----------
+    slots : int
+        Adapters that fit, those being loaded included.
+    load_ms, step_ms : int
+        Duration of a load, and of one step that generates a token for each run.
+    batch : int
+        Most runs that take part in one step.
+    checks_epochs : bool
+        Whether orders with an epoch older than the newest one are rejected.
+
+    Attributes
+    ----------
+    adapters : dict of str to str
+        State of each adapter: "loading" or "ready".
+    epoch : int
+        Newest epoch of an order.
+    counts : Counter of str
+        Number of events by kind, for tests.
+    faults : Counter of str
+        Scripted faults, each with the number of times that it still occurs.
     """
 
-    def __init__(self, slots: int, load_ms: int, step_ms: int, batch: int, checked: bool) -> None:
+    def __init__(
+        self, slots: int, load_ms: int, step_ms: int, batch: int, checks_epochs: bool
+    ) -> None:
         self.incarnation = uuid.uuid4().hex
         self.slots = slots
         self.load_ms = load_ms
@@ -29,20 +54,20 @@
         self.epoch = 0
         self.counts: Counter[str] = Counter()
         self.faults: Counter[str] = Counter()
-        self._checked = checked
+        self._checks_epochs = checks_epochs
         self._loads: set[asyncio.Task[None]] = set()
-        self._work = asyncio.Event()
+        self._has_work = asyncio.Event()
 
     def take_fault(self, name: str) -> bool:
-        """Whether the scripted fault `name` is due; counts it down."""
+        """Return whether the scripted fault `name` is due, and count it as done if so."""
         if self.faults[name] <= 0:
             return False
         self.faults[name] -= 1
         return True
 
     def order(self, kind: str, epoch: int, adapter: str) -> str:
-        """Obey an order, or say why not."""
-        if self._checked and epoch < self.epoch:
+        """Carry out an order; return "accepted", or the reason for rejecting it."""
+        if self._checks_epochs and epoch < self.epoch:
             self.counts["stale_orders"] += 1
             return "stale_epoch"
         self.epoch = max(self.epoch, epoch)
@@ -80,18 +105,18 @@
             self.adapters[adapter] = "ready"
 
     def start_run(self, run: Run) -> None:
-        """Take a run into the batch."""
+        """Add a run to the batch."""
         self.counts["runs"] += 1
-        while len(self.runs) >= KEEP_RUNS:
+        while len(self.runs) >= MAX_KEPT_RUNS:
             oldest = next((key for key, old in self.runs.items() if old.done), None)
             if oldest is None:
                 break
             del self.runs[oldest]
         self.runs[run.attempt_id] = run
-        self._work.set()
+        self._has_work.set()
 
     def cancel(self, attempt_id: str) -> None:
-        """End a run early."""
+        """Cancel a run, if it is known and not done."""
         run = self.runs.get(attempt_id)
         if run is not None and not run.done:
             self.counts["cancelled"] += 1
@@ -99,7 +124,7 @@
             run.changed.set()
 
     def running(self) -> dict[str, str]:
-        """Adapter by attempt id of runs not ended."""
+        """Return the adapter of each run that has not ended, by attempt id."""
         return {
             run.attempt_id: run.adapter
             for run in self.runs.values()
@@ -107,12 +132,12 @@
         }
 
     async def step_forever(self) -> None:
-        """Generate one token for each run in the batch, step after step."""
+        """In each step, generate a token for each of the most urgent runs, `batch` at most."""
         while True:
             active = [run for run in self.runs.values() if not run.done and not run.cancelled]
             if not active:
-                self._work.clear()
-                await self._work.wait()
+                self._has_work.clear()
+                await self._has_work.wait()
                 continue
             await asyncio.sleep(self.step_ms / 1000)
             active.sort(key=lambda run: run.priority)
--- a/chestnutfall/standin/run.py
+++ b/chestnutfall/standin/run.py
@@ -10,7 +10,21 @@
 
 @dataclass(slots=True)
 class Run:
-    """A request being generated, with the events made so far."""
+    """A request whose answer is being generated, one token a step.
+
+    Attributes
+    ----------
+    path : str
+        Path of the request, which decides on the form of the answer.
+    priority : int
+        Urgency, 0 is first.
+    tokens : int
+        Tokens to generate.
+    events : list of bytes
+        Data of the events generated so far.
+    changed : asyncio.Event
+        Set after each step and when the run is cancelled.
+    """
 
     attempt_id: str
     adapter: str
@@ -23,7 +37,7 @@
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def step(self) -> None:
-        """Generate one token."""
+        """Generate one token, and the final event after the last token."""
         number = len(self.events) + 1
         last = number >= self.tokens
         self.events.append(self._event(f"w{number} ", last))
@@ -32,8 +46,8 @@
             self.done = True
         self.changed.set()
 
-    def whole(self, model: str) -> dict[str, Any]:
-        """The answer in one piece."""
+    def whole_answer(self, model: str) -> dict[str, Any]:
+        """Return the whole answer as a JSON object that names `model`."""
         text = "".join(f"w{number} " for number in range(1, self.tokens + 1))
         usage = {"prompt_tokens": 1, "completion_tokens": self.tokens, "total_tokens": 0}
         choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
--- a/chestnutfall/tests/test_http_engine_api.py
+++ b/chestnutfall/tests/test_http_engine_api.py
@@ -33,7 +33,7 @@
 
 class HttpEngineApiTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.core = EngineCore(slots=2, load_ms=0, step_ms=1, batch=8, checked=True)
+        self.core = EngineCore(slots=2, load_ms=0, step_ms=1, batch=8, checks_epochs=True)
         self.core.adapters[MODEL] = "ready"
         self.runner = web.AppRunner(EngineApp(self.core).build(), shutdown_timeout=0.1)
         await self.runner.setup()
