--- a/benchmarks/signals.py
+++ b/benchmarks/signals.py
@@ -15,7 +15,7 @@
 
 from chestnutfall.platform.standin.signal_history import RequestsAfterSignal
 from chestnutfall.platform.standin.upstream import StandInUpstream
-from chestnutfall.tests.office_play import OfficePlay, ask_for_time
+from chestnutfall.tests.office_scenario import OfficeScenario, request_backoff
 
 BACKOFF_S = 3.0
 ASKED_FOR_S = 5.5
@@ -32,15 +32,15 @@
     ended_s: float = 0.0
 
 
-Choose = Callable[[OfficePlay], list[StandInUpstream]]
+Choose = Callable[[OfficeScenario], list[StandInUpstream]]
 
 
-def one_of_each(play: OfficePlay) -> list[StandInUpstream]:
+def one_of_each(play: OfficeScenario) -> list[StandInUpstream]:
     """An engine and a plain upstream."""
-    return list(play.one_of_each())
+    return list(play.engine_and_plain())
 
 
-def everyone(play: OfficePlay) -> list[StandInUpstream]:
+def everyone(play: OfficeScenario) -> list[StandInUpstream]:
     """All upstreams."""
     return play.office.upstreams
 
@@ -49,7 +49,7 @@
     """Do nothing beside the play."""
 
 
-async def restart_controllers(play: OfficePlay) -> None:
+async def restart_controllers(play: OfficeScenario) -> None:
     """Kill and start the controllers in turn."""
     for one in play.office.controllers:
         await one.kill()
@@ -59,13 +59,13 @@
 
 def backing_off(
     choose: Choose, spans: Spans, restarts: bool = False
-) -> Callable[[OfficePlay], Awaitable[None]]:
+) -> Callable[[OfficeScenario], Awaitable[None]]:
     """Let some ask for time, take work again, and serve the time that is left."""
 
-    async def script(play: OfficePlay) -> None:
+    async def script(play: OfficeScenario) -> None:
         spans.began_s = time.monotonic()
         beside = asyncio.ensure_future(restart_controllers(play) if restarts else nothing())
-        await ask_for_time(choose(play), f"{BACKOFF_S:g}", ASKED_FOR_S)
+        await request_backoff(choose(play), f"{BACKOFF_S:g}", ASKED_FOR_S)
         await beside
         spans.ended_s = time.monotonic()
         await asyncio.sleep(BACKOFF_S + AFTER_S)
@@ -75,10 +75,10 @@
 
 def leaving(
     choose: Choose, spans: Spans, restarts: bool = False
-) -> Callable[[OfficePlay], Awaitable[None]]:
+) -> Callable[[OfficeScenario], Awaitable[None]]:
     """Let some say that they leave, and go on to answer."""
 
-    async def script(play: OfficePlay) -> None:
+    async def script(play: OfficeScenario) -> None:
         spans.began_s = time.monotonic()
         for one in choose(play):
             one.leaving = True
@@ -95,21 +95,21 @@
     return max((one.got for one in found), default=0)
 
 
-def row(name: str, seed: int, play: OfficePlay, spans: Spans) -> str:
+def row(name: str, seed: int, play: OfficeScenario, spans: Spans) -> str:
     """One line of the table."""
     refused = play.refused(spans.began_s, spans.ended_s)
     took_ms = sorted(1000 * seen.took_s for seen in refused)
     told_s = [seen.retry_after_s or 0.0 for seen in refused]
     told = f"{min(told_s):.2f} to {max(told_s):.2f}" if told_s else "-"
     after_s = spans.ended_s + BACKOFF_S
-    silent = sum(one.seen.status == 0 for one in play.answers)
+    silent = sum(one.result.status == 0 for one in play.answers)
     cells = (
         name,
         str(seed),
-        f"{play.served(spans.began_s, spans.ended_s):.3f}",
-        f"{play.served(after_s, after_s + AFTER_S):.3f}" if "time" in name else "-",
-        str(most(list(play.in_backoffs()))),
-        str(most(list(play.after_leaving()))),
+        f"{play.success_ratio(spans.began_s, spans.ended_s):.3f}",
+        f"{play.success_ratio(after_s, after_s + AFTER_S):.3f}" if "time" in name else "-",
+        str(most(list(play.requests_in_backoffs()))),
+        str(most(list(play.requests_after_leaving()))),
         str(len(refused)),
         f"{statistics.median(took_ms):.0f}" if took_ms else "-",
         told,
@@ -118,7 +118,7 @@
     return f"| {' | '.join(cells)} |"
 
 
-def plays() -> list[tuple[str, Callable[[Spans], Callable[[OfficePlay], Awaitable[None]]]]]:
+def plays() -> list[tuple[str, Callable[[Spans], Callable[[OfficeScenario], Awaitable[None]]]]]:
     """All plays by name."""
     return [
         ("one of each asks for time", lambda spans: backing_off(one_of_each, spans)),
@@ -142,13 +142,16 @@
         if args.play not in name:
             continue
         for seed in args.seeds:
-            play, spans = OfficePlay(seed), Spans()
+            play, spans = OfficeScenario(seed), Spans()
             asyncio.run(play.run(make(spans)))
             print(row(name, seed, play, spans), flush=True)
             for one in play.answers:
-                if one.seen.status == 0:
+                if one.result.status == 0:
                     at_s = one.sent_s - spans.began_s
-                    print(f"no answer: sent {at_s:.2f} s, took {one.seen.took_s:.2f} s: {one.seen}")
+                    print(
+                        f"no answer: sent {at_s:.2f} s, took {one.result.took_s:.2f} s:"
+                        f" {one.result}"
+                    )
 
 
 if __name__ == "__main__":
--- a/chestnutfall/platform/document_json.py
+++ b/chestnutfall/platform/document_json.py
@@ -168,7 +168,9 @@
     units = {unit.value: unit for unit in QuotaUnit}
     if wire.unit not in units:
         rule = f"the unit must be one of {', '.join(units)}"
-        raise UnreadableDocument([Finding(DOCUMENT_NAME, f"/tenants/{index}/unit", rule, wire.unit)])
+        raise UnreadableDocument(
+            [Finding(DOCUMENT_NAME, f"/tenants/{index}/unit", rule, wire.unit)]
+        )
     quota = Quota(units[wire.unit], wire.rate_per_s, wire.burst, wire.plain_tokens)
     digests = tuple(key_digest(key) for key in wire.api_keys)
     return Organisation(wire.name, digests, wire.priority, quota)
--- a/chestnutfall/tests/office_play.py
+++ b/chestnutfall/tests/office_scenario.py
@@ -1,4 +1,4 @@
-"""The real programs before upstreams that say things of themselves."""
+"""Scenarios of the real programs with upstreams that send signals."""
 
 from __future__ import annotations
 
@@ -24,32 +24,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
-    """What a caller got, and when it had sent its request."""
+class SentRequest:
+    """The outcome of a request, and the time in seconds at which it was sent."""
 
     sent_s: float
-    seen: ClientResult
+    result: ClientResult
 
 
 @dataclass(slots=True)
-class OfficePlay:
-    """One play: callers in a loop, and a script of what upstreams say.
+class OfficeScenario:
+    """Callers who send requests in a loop, while a script changes what upstreams signal.
+
+    Controllers, gateways and upstreams run as in a soak run, without its faults.
 
     Attributes
     ----------
     callers : int
-        How many call at a time.
-    answers : list of Answered
-        What callers got.
+        Number of concurrent callers.
+    answers : list of SentRequest
+        Outcomes of all requests that ended, in order.
+    office : Office
+        The processes and upstreams; set once the scenario runs.
     """
 
     seed: int
     callers: int = CALLERS
-    answers: list[Answered] = field(default_factory=list)
+    answers: list[SentRequest] = field(default_factory=list)
     office: Office = field(init=False)
 
-    async def run(self, script: Callable[[OfficePlay], Awaitable[None]]) -> None:
-        """Play `script` from the moment at which all is served."""
+    async def run(self, script: Callable[[OfficeScenario], Awaitable[None]]) -> None:
+        """Start everything, let callers send for `BEFORE_S`, and then run `script`."""
         logging.getLogger("aiohttp").setLevel(logging.CRITICAL)
         rng = random.Random(self.seed)
         with tempfile.TemporaryDirectory(prefix="signals-") as folder:
@@ -74,38 +78,38 @@
         while True:
             gateway = self.office.front(rng.choice(self.office.gateways))
             sent_s = time.monotonic()
-            seen = await client.send(gateway, rng.choice(ROUTES))
-            self.answers.append(Answered(sent_s, seen))
+            result = await client.send(gateway, rng.choice(ROUTES))
+            self.answers.append(SentRequest(sent_s, result))
             await asyncio.sleep(rng.uniform(0.0, 0.04))
 
-    def one_of_each(self) -> tuple[StandInUpstream, StandInUpstream]:
-        """An engine and a plain upstream."""
+    def engine_and_plain(self) -> tuple[StandInUpstream, StandInUpstream]:
+        """Return the first engine and the first plain upstream."""
         first = {one.service: one for one in reversed(self.office.upstreams)}
         return first[ENGINES], first[PLAIN]
 
-    def served(self, from_s: float, until_s: float = float("inf")) -> float:
-        """Part of the calls sent in a time that got a success."""
-        sent = [one.seen for one in self.answers if from_s <= one.sent_s < until_s]
-        return sum(seen.status == 200 and seen.complete for seen in sent) / max(len(sent), 1)
+    def success_ratio(self, from_s: float, until_s: float = float("inf")) -> float:
+        """Return the share of the requests sent in a time span that succeeded completely."""
+        sent = [one.result for one in self.answers if from_s <= one.sent_s < until_s]
+        return sum(result.status == 200 and result.complete for result in sent) / max(len(sent), 1)
 
     def refused(self, from_s: float, until_s: float) -> list[ClientResult]:
-        """Calls sent in a time that were refused as not run."""
-        sent = (one.seen for one in self.answers if from_s <= one.sent_s < until_s)
-        return [seen for seen in sent if seen.says_not_run]
+        """Return requests sent in a time span whose answer promises that they did not run."""
+        sent = (one.result for one in self.answers if from_s <= one.sent_s < until_s)
+        return [result for result in sent if result.says_not_run]
 
-    def in_backoffs(self) -> Iterator[RequestsAfterSignal]:
-        """What came while upstreams wanted nothing."""
+    def requests_in_backoffs(self) -> Iterator[RequestsAfterSignal]:
+        """Yield the requests that arrived within each backoff of all upstreams."""
         for history in self.office.book.signals.values():
             yield from history.requests_in_backoffs()
 
-    def after_leaving(self) -> Iterator[RequestsAfterSignal]:
-        """What came to upstreams that leave."""
+    def requests_after_leaving(self) -> Iterator[RequestsAfterSignal]:
+        """Yield the requests that arrived at upstreams too late after they signalled to leave."""
         for history in self.office.book.signals.values():
             yield from history.requests_after_leaving()
 
 
-async def ask_for_time(upstreams: list[StandInUpstream], backoff: str, for_s: float) -> None:
-    """Let upstreams turn all away for some time."""
+async def request_backoff(upstreams: list[StandInUpstream], backoff: str, for_s: float) -> None:
+    """Let upstreams refuse all requests for `for_s` seconds with `backoff` as Retry-After."""
     for one in upstreams:
         one.backoff = backoff
     await asyncio.sleep(for_s)
--- a/chestnutfall/tests/process_office.py
+++ b/chestnutfall/tests/process_office.py
@@ -1,4 +1,4 @@
-"""A small office of real processes, for tests."""
+"""A small deployment of real processes on this host, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 
 
 def free_address() -> str:
-    """An address that nobody listens on, and that nobody gets until it is used.
+    """Return a loopback address on which nothing listens, each time another one.
 
-    A port that the system names as free may be given to the next connection on this host before
-    it is used: a program of a test then can't listen, and a run beside another run of the tests
-    fails before its first test. Each process takes its own ports in turn instead.
+    A free port that the system chooses may be given to another connection before it is used; then a
+    program can't listen, and concurrent test runs fail. Ports are taken from a range that the
+    system does not use itself instead, in turn, from a start that depends on the process id.
     """
     for number in _ports:
         port = FIRST_PORT + number % PORTS
@@ -53,7 +53,7 @@
 
 
 def wait_until(what: str, condition: Callable[[], bool]) -> None:
-    """Wait until `condition` holds."""
+    """Wait until `condition` holds; after `DEADLINE_S` fail with `what` in the message."""
     end = time.monotonic() + DEADLINE_S
     while time.monotonic() < end:
         if condition():
@@ -63,7 +63,25 @@
 
 
 class ProcessOffice:
-    """Controllers, gateways, an engine and a plain service as processes."""
+    """Controllers, gateways, engines and a plain service as processes.
+
+    Processes are named "c0", "g0", "engine-0" and "plain-0", and so on by their numbers.
+
+    Attributes
+    ----------
+    folder : Path
+        Temporary folder with settings, keys, logs and data.
+    processes : dict of str to Popen
+        Processes that were started and not waited for, by name.
+    controllers, gateways, engines : list of str
+        Addresses on which they listen, by number.
+    announce_addresses : list of str
+        Addresses at which gateways take announcements.
+    plain : str
+        Address of the plain service.
+    engine_settings, limits : dict
+        Further settings of engines, and default limits of the configuration; set before `start`.
+    """
 
     def __init__(
         self, controllers: int = 3, gateways: int = 2, engines: int = 1, tls: bool = False
@@ -74,7 +92,7 @@
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.controllers = [free_address() for _ in range(controllers)]
         self.gateways = [free_address() for _ in range(gateways)]
-        self._announce = [free_address() for _ in range(gateways)]
+        self.announce_addresses = [free_address() for _ in range(gateways)]
         self.engines = [free_address() for _ in range(engines)]
         self.plain = free_address()
         self.engine_settings: dict[str, Any] = {"load_ms": 50, "step_ms": 10}
@@ -83,7 +101,7 @@
             (self.folder / f"{name}.key").write_text(key)
 
     def start(self) -> None:
-        """Start everything and wait until all gateways are ready."""
+        """Start everything and wait until all gateways serve completions."""
         for number in range(len(self.controllers)):
             self.start_controller(number, "--bootstrap")
         self.configure()
@@ -94,7 +112,7 @@
         self._start_upstream("plain", "plain-0", "permisos", self.plain)
         for number in range(len(self.gateways)):
             wait_until(f"gateway {number} ready", lambda n=number: self.is_ready(n))  # type: ignore[misc]
-        # A gateway that is ready may not have heard of the engine yet.
+        # A gateway that is ready may not have received an announcement of the engine yet.
         for number in range(len(self.gateways)):
             wait_until("an answer", lambda n=number: self.post(n, "tejas@1")[0] == 200)  # type: ignore[misc]
 
@@ -108,7 +126,7 @@
             )
 
     def start_controller(self, number: int, *options: str) -> None:
-        """Start a controller on its data folder."""
+        """Start a controller on its data folder, with further command-line options."""
         members = [{"name": f"c{n}", "address": a} for n, a in enumerate(self.controllers)]
         settings = {
             "name": f"c{number}",
@@ -133,7 +151,7 @@
             "data_centre": SITE,
             "listen": self.gateways[number],
             "peer_listen": free_address(),
-            "announce_listen": self._announce[number],
+            "announce_listen": self.announce_addresses[number],
             "controllers": self.controllers,
             "not_ready_ms": 300,
             "tls": self._tls(f"g{number}"),
@@ -151,7 +169,7 @@
             "service": service,
             "data_centre": SITE,
             "listen": address,
-            "announce_to": self._announce,
+            "announce_to": self.announce_addresses,
             "announce_key_file": str(
                 self.folder / ("engines.key" if program == "engine" else "plain.key")
             ),
@@ -161,7 +179,7 @@
         self._start(program, name, settings)
 
     def configure(self) -> None:
-        """Make the first configuration."""
+        """Commit the first configuration."""
         versions = {"service": "redactor-ia", "versions": DIGESTS}
         base = {
             "sites": {SITE: {}},
@@ -193,18 +211,18 @@
         asyncio.run(change())
 
     def operator(self) -> _Operator:
-        """A context with an operator's session."""
+        """Return a context manager for an operator's session."""
         files = self._authority.issue(self.folder, "operator") if self._authority else None
         return _Operator(self.controllers, files)
 
-    def ctl(self, *args: str, typed: str = "") -> subprocess.CompletedProcess[str]:
-        """Run one command of the operators' tool; `typed` goes to its standard input."""
+    def ctl(self, *args: str, stdin_text: str = "") -> subprocess.CompletedProcess[str]:
+        """Run one command of the operators' tool; `stdin_text` goes to its standard input."""
         path = self.folder / "operator.json"
         settings = {"controllers": self.controllers, "key_file": str(self.folder / "admin.key")}
         path.write_text(json.dumps(settings))
         command = [sys.executable, "-m", "chestnutfall.programs.ctl", "--settings", str(path)]
         return subprocess.run(
-            [*command, *args], input=typed, capture_output=True, text=True, check=False
+            [*command, *args], input=stdin_text, capture_output=True, text=True, check=False
         )
 
     def signal(self, name: str, signum: signal.Signals) -> None:
@@ -212,35 +230,38 @@
         self.processes[name].send_signal(signum)
 
     def wait_exit(self, name: str) -> int:
-        """Wait for a process to end and return its exit code."""
+        """Wait until a process ends; return its exit code."""
         return self.processes.pop(name).wait(timeout=DEADLINE_S)
 
     def log(self, name: str) -> str:
-        """What a process has logged."""
+        """Return the log of a process, over all its starts."""
         return (self.folder / f"{name}.log").read_text("utf-8")
 
     def is_ready(self, gateway: int) -> bool:
-        """Whether a gateway says that it is ready."""
+        """Return whether a gateway answers that it is ready."""
         try:
             return self._open(urllib.request.Request(self.url(gateway, "/readyz")))[0] == 200
         except OSError:
             return False
 
     def url(self, gateway: int, path: str) -> str:
-        """URL of a path at a gateway."""
+        """Return the URL of a path at a gateway."""
         return f"http://{self.gateways[gateway]}{path}"
 
     def post(
         self, gateway: int, model: str, prompt: str = "roof", **headers: str
     ) -> tuple[int, dict[str, Any]]:
-        """Ask for a short completion; return status and body."""
+        """Request a completion of 4 tokens as the caller; return status and JSON body."""
         body = json.dumps({"model": model, "max_tokens": 4, "prompt": prompt}).encode()
         return self.request(gateway, "/v1/completions", body, **headers)
 
     def request(
         self, gateway: int, path: str, body: bytes | None, **headers: str
     ) -> tuple[int, dict[str, Any]]:
-        """Send a request as the caller; return status and JSON body."""
+        """Send a request as the caller; return status and JSON body.
+
+        Underscores in the names of `headers` stand for hyphens.
+        """
         req = urllib.request.Request(self.url(gateway, path), data=body)
         req.add_header("Authorization", f"Bearer {KEYS['caller']}")
         for name, value in headers.items():
@@ -258,19 +279,22 @@
             return exc.code, exc.read()
 
     def engine_counts(self, number: int = 0) -> dict[str, int]:
-        """What an engine has counted."""
+        """Return the counts of a stand-in engine by kind of event."""
         url = f"http://{self.engines[number]}/standin/counts"
         counts: dict[str, int] = json.loads(self._open(urllib.request.Request(url))[1])
         return counts
 
-    def say(self, address: str, **headers: str) -> None:
-        """Let the answers of a stand-in say something; underscores stand for hyphens."""
-        words = {name.replace("_", "-"): text for name, text in headers.items()}
+    def script_headers(self, address: str, **headers: str) -> None:
+        """Replace the headers that a stand-in adds to its answers.
+
+        Underscores in the names of `headers` stand for hyphens.
+        """
+        scripted = {name.replace("_", "-"): text for name, text in headers.items()}
         url = f"http://{address}/standin/words"
-        self._open(urllib.request.Request(url, json.dumps(words).encode()))
+        self._open(urllib.request.Request(url, json.dumps(scripted).encode()))
 
     def stop(self) -> None:
-        """End every process."""
+        """Kill every process that is left, and delete the folder."""
         for process in self.processes.values():
             os.kill(process.pid, signal.SIGCONT)
             process.kill()
--- a/chestnutfall/tests/test_deploy.py
+++ b/chestnutfall/tests/test_deploy.py
@@ -1,7 +1,8 @@
-"""A clean host starts the platform's programs, and every one of them ends at once.
+"""The platform's programs must start with the libraries that the deploy file installs.
 
-The deploy file installs a short list of libraries. A module that the programs import, however far
-away, imports another library; where that one was installed for something else nobody notices.
+The deploy file installs a short list. If a module that the programs import, even indirectly, needs
+another library, every program exits at once on a clean host. Where that library happens to be
+installed for another purpose, the fault does not show.
 """
 
 from __future__ import annotations
@@ -35,12 +36,12 @@
 """
 
 
-def _normal(name: str) -> str:
+def _normalized(name: str) -> str:
     return re.sub(r"[-_.]+", "-", name).lower()
 
 
 def _requires(name: str) -> list[str]:
-    """What a distribution requires; nothing for one that this interpreter does not need."""
+    """Return what a distribution requires; empty if it is not installed."""
     try:
         return metadata.requires(name) or []
     except metadata.PackageNotFoundError:
@@ -48,9 +49,9 @@
 
 
 def _installed_by(requirements: Path) -> set[str]:
-    """Distributions that the list names, and all that these require."""
+    """Return the distributions in the requirements file, and all that they require."""
     lines = requirements.read_text("utf-8").split()
-    pending = [_normal(line.partition("==")[0]) for line in lines]
+    pending = [_normalized(line.partition("==")[0]) for line in lines]
     found: set[str] = set()
     while pending:
         name = pending.pop()
@@ -59,7 +60,7 @@
         found.add(name)
         for required in _requires(name):
             if "extra ==" not in required:
-                pending.append(_normal(re.split(r"[^\w.-]", required, maxsplit=1)[0]))
+                pending.append(_normalized(re.split(r"[^\w.-]", required, maxsplit=1)[0]))
     return found
 
 
@@ -69,7 +70,7 @@
         missing = [
             module
             for module, names in metadata.packages_distributions().items()
-            if module != "chestnutfall" and not listed & {_normal(name) for name in names}
+            if module != "chestnutfall" and not listed & {_normalized(name) for name in names}
         ]
         self.assertIn("statsd", missing)
         for program in PROGRAMS:
@@ -79,10 +80,10 @@
                 self.assertEqual((done.returncode, done.stderr), (0, ""))
 
     def test_programs_start_without_the_libraries_of_the_others(self) -> None:
-        """After a power loss of all hosts every caller waits for these imports to end.
+        """Imports that these programs do not need would double the start time of a gateway.
 
-        pydantic and expression check the settings of other programs; imported here they double
-        the time that a gateway takes to start.
+        After a power loss of all hosts every caller waits for that start. pydantic and expression
+        check the settings of other programs only.
         """
         for program in PROGRAMS:
             with self.subTest(program):
--- a/chestnutfall/tests/test_fatal_completions.py
+++ b/chestnutfall/tests/test_fatal_completions.py
@@ -1,8 +1,9 @@
-"""Completions that end every engine that runs them, through gateways of one office.
+"""Completions that end every engine that runs them, sent through several gateways.
 
-A planner's request ends the engine that runs it, is repeated on the next one, and is sent again by
-its caller through another gateway, until nobody's drafts find an engine. Gateways remembered which
-engines failed a request only until that request's own end, so each one began anew.
+A request ends the engine that runs it, is repeated on the next one, and is sent again by its caller
+through another gateway, until no engine is left for other callers. A gateway remembers the engines
+that failed a request only until the request ends, so without a shared record each attempt would
+start anew.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 from ..requests import Executed, Refusal
 from .fakes.fake_office import FakeGateway, FakeOffice
 
-LEARN_MS = 3_000
-BACK_MS = 2_500
-"""Longer than an engine is gone, and than its owner takes to load an adapter again."""
+PROPAGATION_MS = 3_000
+RECOVERY_MS = 2_500
+"""Longer than an engine takes to restart, and its owner to load an adapter again."""
 TRIES = 9
 
 
@@ -34,16 +35,18 @@
     async def _refused(self, gateway: FakeGateway) -> Refusal:
         with self.assertRaises(Refusal) as caught:
             await self.office.finish(gateway.answer(gateway.request("a1@1", "a fatal one")))
-        await self.office.clock.advance(BACK_MS)
+        await self.office.clock.advance(RECOVERY_MS)
         return caught.exception
 
     async def test_no_gateway_sends_what_ended_three_engines(self) -> None:
         gateways = [self.office.gateway(number) for number in range(3)]
         while self._ends() < ENDS_BEFORE_REFUSAL:
             await self._refused(gateways[self._ends() % len(gateways)])
-        await self.office.clock.advance(LEARN_MS)
+        await self.office.clock.advance(PROPAGATION_MS)
         ends = self._ends()
-        refusals = [await self._refused(gateways[at % len(gateways)]) for at in range(TRIES)]
+        refusals = [
+            await self._refused(gateways[attempt % len(gateways)]) for attempt in range(TRIES)
+        ]
         self.assertLessEqual(self._ends() - ends, LATER_ENDS)
         self.assertIs(refusals[-1].executed, Executed.NO)
         self.assertEqual(refusals[-1].status, 503)
--- a/chestnutfall/tests/test_fatal_processes.py
+++ b/chestnutfall/tests/test_fatal_processes.py
@@ -1,8 +1,9 @@
-"""A completion that ends the process of every engine that runs it, sent by the usual client.
+"""A completion that ends the process of every engine that runs it.
 
-A planner's request takes the only engine away, the engine is started again, the planner sends the
-same through the other gateway. The third time is the last: from then on both gateways refuse it at
-once, say that it was not run, and serve everybody else on the engine that stays.
+A caller sends it through one gateway and the other in turn, and the only engine is restarted after
+each end. After the third end, both gateways must refuse it at once as not run, and go on to serve
+other requests on the engine. Otherwise one request takes the engine from all callers again and
+again.
 """
 
 from __future__ import annotations
--- a/chestnutfall/tests/test_fatal_requests.py
+++ b/chestnutfall/tests/test_fatal_requests.py
@@ -1,10 +1,9 @@
-"""Requests that end every upstream that runs them, before the real programs.
+"""Requests that end every upstream that runs them, with the real programs.
 
-Callers of quick estimates lose their answers in the middle, then are refused since most engines
-are gone. One request ends the engine that runs it; its gateway resumes it on a second one; its
-caller sends the same again, through another gateway, where nobody knows of it. Engines were
-blamed for their ends and requests never: each call began anew, and one content ended 25 engines
-in 12 s. What proved it: the same content in 16 calls at six gateways, on each engine that ended.
+A request ends the engine that runs it, its gateway resumes it on a second one, and its caller sends
+the same content again through another gateway, which does not know of the earlier ends. Other
+callers lose their answers, or are refused since most engines are down. Without a record of such
+requests that all gateways share, one content in 16 calls at six gateways ended 25 engines in 12 s.
 """
 
 from __future__ import annotations
@@ -27,12 +26,12 @@
 
 class FatalRequestTest(unittest.TestCase):
     def test_no_gateway_sends_what_ended_three_upstreams(self) -> None:
-        # The stand-ins' tracebacks of the connections that they break say nothing.
+        # The stand-ins abort connections, and aiohttp would log a traceback for each.
         logging.getLogger("aiohttp").setLevel(logging.CRITICAL)
         with tempfile.TemporaryDirectory(prefix="fatal-") as folder:
-            asyncio.run(self._play(Path(folder)))
+            asyncio.run(self._run(Path(folder)))
 
-    async def _play(self, folder: Path) -> None:
+    async def _run(self, folder: Path) -> None:
         rng = random.Random(3)
         self.office = Office(folder, rng)
         operator = StandInOperator(self.office.control_addresses, rng)
@@ -62,7 +61,7 @@
         self.assertEqual({one.status for one in refused}, {503})
 
     async def _until_served(self) -> None:
-        """Wait until every gateway serves what ends nobody."""
+        """Wait until every gateway serves harmless requests on all routes."""
         for gateway in self.office.gateways:
             for route in ("once", "again", "draft", "long"):
                 await self.fatal.until_served(self.office.front(gateway), route)
--- a/chestnutfall/tests/test_limits_together.py
+++ b/chestnutfall/tests/test_limits_together.py
@@ -93,7 +93,9 @@
         await office.play(6_000, RATES)
         for limits in found:
             self._check(limits)
-            self.assertGreaterEqual(limits.used(int(limits.history.announced[-1][0]) + 1_500), MIN_USED)
+            self.assertGreaterEqual(
+                limits.used(int(limits.history.announced[-1][0]) + 1_500), MIN_USED
+            )
 
     # Guards against upstreams that get no requests after their limit ended.
     async def test_a_limit_that_ended_holds_nobody_back(self) -> None:
--- a/chestnutfall/tests/test_named_limits.py
+++ b/chestnutfall/tests/test_named_limits.py
@@ -8,7 +8,7 @@
 
 from ..platform.standin.limit_history import SETTLE_MS, LimitHistory
 from ..platform.standin.upstream import StandInUpstream
-from .office_play import OfficePlay
+from .office_scenario import OfficeScenario
 
 CLIENTS = 12
 LIMIT_PER_S = 12.0
@@ -20,14 +20,14 @@
 class NamedLimitTest(unittest.TestCase):
     # Guards against upstreams that declare a limit and receive as many requests as before.
     def test_upstreams_get_what_they_say_they_take(self) -> None:
-        self.play = OfficePlay(seed=4, callers=CLIENTS)
+        self.play = OfficeScenario(seed=4, callers=CLIENTS)
         asyncio.run(self.play.run(self._script))
-        for upstream in self.play.one_of_each():
+        for upstream in self.play.engine_and_plain():
             with self.subTest(upstream.service):
                 self._check(upstream)
 
-    async def _script(self, play: OfficePlay) -> None:
-        for upstream in play.one_of_each():
+    async def _script(self, play: OfficeScenario) -> None:
+        for upstream in play.engine_and_plain():
             upstream.limit = f"{LIMIT_PER_S}"
         self.history = LimitHistory()
         self.history.note_limit(time.monotonic() * 1000, LIMIT_PER_S)
--- a/chestnutfall/tests/test_named_signals.py
+++ b/chestnutfall/tests/test_named_signals.py
@@ -7,7 +7,7 @@
 import unittest
 
 from ..platform.standin.signal_history import DRAIN_S, MAX_IN_BACKOFF, SETTLE_S
-from .office_play import OfficePlay, ask_for_time
+from .office_scenario import OfficeScenario, request_backoff
 
 BACKOFF_S = 3.0
 BACKOFF_LOAD_S = 5.5
@@ -19,24 +19,24 @@
 class NamedSignalTest(unittest.TestCase):
     # Guards against a gateway that ignores a backoff and sends the next request at once.
     def test_one_that_asks_for_time_gets_it_and_callers_lose_nothing(self) -> None:
-        play = OfficePlay(seed=5)
+        play = OfficeScenario(seed=5)
 
-        async def script(play: OfficePlay) -> None:
+        async def script(play: OfficeScenario) -> None:
             self.began_s = time.monotonic()
-            await ask_for_time(list(play.one_of_each()), f"{BACKOFF_S:g}", BACKOFF_LOAD_S)
+            await request_backoff(list(play.engine_and_plain()), f"{BACKOFF_S:g}", BACKOFF_LOAD_S)
             await asyncio.sleep(1.0)
 
         asyncio.run(play.run(script))
         self._check_backoffs(play)
-        self.assertGreaterEqual(play.served(self.began_s), MIN_SERVED)
+        self.assertGreaterEqual(play.success_ratio(self.began_s), MIN_SERVED)
 
     # Guards against callers that retry too soon while all upstreams ask for a backoff.
     def test_where_all_ask_for_time_callers_are_told_when_to_come_back(self) -> None:
-        play = OfficePlay(seed=6)
+        play = OfficeScenario(seed=6)
 
-        async def script(play: OfficePlay) -> None:
+        async def script(play: OfficeScenario) -> None:
             self.began_s = time.monotonic()
-            await ask_for_time(play.office.upstreams, f"{BACKOFF_S:g}", 1.0)
+            await request_backoff(play.office.upstreams, f"{BACKOFF_S:g}", 1.0)
             self.ended_s = time.monotonic()
             await asyncio.sleep(BACKOFF_S + 1.5)
 
@@ -47,25 +47,27 @@
         # The first refusals come within the first half second, so the least retry time is known.
         told_s = [seen.retry_after_s or 0.0 for seen in refused]
         self.assertGreater(min(told_s), BACKOFF_S - 1.0 - SETTLE_S)
-        self.assertGreaterEqual(play.served(self.ended_s + BACKOFF_S + SETTLE_S), MIN_SERVED_AFTER)
+        self.assertGreaterEqual(
+            play.success_ratio(self.ended_s + BACKOFF_S + SETTLE_S), MIN_SERVED_AFTER
+        )
 
     # Guards against gateways that send new work to an upstream that said that it is leaving.
     def test_one_that_says_that_it_leaves_gets_nothing_more_and_callers_lose_nothing(self) -> None:
-        play = OfficePlay(seed=7)
+        play = OfficeScenario(seed=7)
 
-        async def script(play: OfficePlay) -> None:
+        async def script(play: OfficeScenario) -> None:
             self.began_s = time.monotonic()
-            for one in play.one_of_each():
+            for one in play.engine_and_plain():
                 one.leaving = True
             await asyncio.sleep(LEAVING_LOAD_S)
 
         asyncio.run(play.run(script))
-        self.assertGreater(len(list(play.after_leaving())), 0)
-        self.assertEqual([one for one in play.after_leaving() if one.got], [])
-        self.assertGreaterEqual(play.served(self.began_s), MIN_SERVED)
+        self.assertGreater(len(list(play.requests_after_leaving())), 0)
+        self.assertEqual([one for one in play.requests_after_leaving() if one.got], [])
+        self.assertGreaterEqual(play.success_ratio(self.began_s), MIN_SERVED)
         self.assertGreater(LEAVING_LOAD_S, DRAIN_S + SETTLE_S)
 
-    def _check_backoffs(self, play: OfficePlay) -> None:
-        asked = list(play.in_backoffs())
+    def _check_backoffs(self, play: OfficeScenario) -> None:
+        asked = list(play.requests_in_backoffs())
         self.assertGreater(len(asked), 0)
         self.assertEqual([one for one in asked if one.got > MAX_IN_BACKOFF], [])
--- a/chestnutfall/tests/test_platform.py
+++ b/chestnutfall/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's headers, reports and settings, translated."""
+"""Decoding of the platform's headers and settings file, and forwarding to its upstreams."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class CallReaderTest(unittest.IsolatedAsyncioTestCase):
-    async def test_headers_become_fields_and_ours_are_not_passed_on(self) -> None:
+    async def test_headers_become_fields_and_internal_ones_are_not_forwarded(self) -> None:
         calls: list[Call] = []
 
         async def on_call(request: web.BaseRequest) -> web.Response:
@@ -69,7 +69,7 @@
 
 
 class NodeFileTest(unittest.TestCase):
-    def test_a_written_node_file_is_understood(self) -> None:
+    def test_fields_of_the_node_file_become_settings(self) -> None:
         plan = NodePlan("127.0.0.9", "c1", "/data", ("127.0.0.9", "127.0.0.8"), True)
         with TemporaryDirectory() as folder:
             path = Path(folder) / "node.toml"
@@ -81,7 +81,7 @@
 
 
 class UpstreamHttpTest(unittest.IsolatedAsyncioTestCase):
-    """What upstreams answer, and what may be concluded from it."""
+    """Requests to upstreams, and what the gateway concludes from their answers."""
 
     async def asyncSetUp(self) -> None:
         self.status = 200
@@ -122,7 +122,7 @@
             body = b"".join([data async for data in answer.body])
             return answer.status, answer.not_run, answer.signals.load, body
 
-    async def test_the_request_arrives_unchanged_with_what_the_engine_must_know(self) -> None:
+    async def test_the_request_arrives_unchanged_with_headers_for_the_engine(self) -> None:
         found = await self._send()
         self.assertEqual(found, (200, None, UpstreamLoad(2, 1, 6), b"answer"))
         request = self.seen[0]
@@ -138,7 +138,7 @@
         self.assertEqual({name: request.headers[name] for name in expected}, expected)
         self.assertNotIn("User-Agent", request.headers)
 
-    async def test_proofs_of_not_having_run(self) -> None:
+    async def test_answers_that_prove_that_the_request_did_not_run(self) -> None:
         cases = (
             (503, {"X-Not-Executed": "1"}, NotRun.FULL),
             (421, {"X-Instance-Id": "i2"}, NotRun.REPLACED),
@@ -150,24 +150,26 @@
             with self.subTest(status=self.status, headers=self.headers):
                 self.assertEqual((await self._send())[1], expected)
 
-    async def test_what_an_answer_says_of_its_upstream(self) -> None:
+    async def test_signals_in_the_headers_of_an_answer(self) -> None:
         self.status = 503
         self.headers = {"Retry-After": "1.5", "Server-Leaving": "1", "Server-Limit": "4"}
         async with self.api.send(self._forwarded()) as answer:
             signals = answer.signals
-        said = UpstreamSignals(DeclaredLimit(4.0), AskedBackoff(1_500), True, UpstreamLoad(2, 1, 6))
-        self.assertEqual(signals, said)
+        expected = UpstreamSignals(
+            DeclaredLimit(4.0), AskedBackoff(1_500), True, UpstreamLoad(2, 1, 6)
+        )
+        self.assertEqual(signals, expected)
 
-    # Guards against a new word of upstreams that nobody notices.
-    async def test_a_header_that_nobody_reads_is_counted_by_its_name(self) -> None:
+    # Guards against a new signal header of upstreams that is ignored without a trace.
+    async def test_an_unknown_header_is_counted_by_its_name(self) -> None:
         self.headers = {"Server-Wish": "more", "X-Response-Stamp": "s", "X-Weight-Versions": "1"}
         with self.assertLogs(level="WARNING"):
             await self._send()
         self.assertEqual(self.counts, {"unread_header_server_wish": 1})
 
     async def test_a_request_whose_connection_breaks_is_sent_once(self) -> None:
-        # A household gets two permits. The upstream runs the request and its connection breaks;
-        # the HTTP client sends it again without a word, since by its method it could be.
+        # An upstream runs a request twice, and a household gets two permits. The connection breaks
+        # after the first run, and the HTTP client repeats the request, as its method allows that.
         self.aborts = True
         for self.method in ("GET", "PUT", "DELETE", "POST"):
             with self.subTest(self.method):
@@ -182,7 +184,7 @@
             await self._send()
 
     async def test_a_success_that_names_no_request_is_lost(self) -> None:
-        # A caller gets a whole answer of somebody else: nothing in it says whose it is.
+        # A caller gets the whole answer to another request, since nothing in it names the request.
         self.named = False
         with self.assertRaises(AnswerLost):
             await self._send()
--- a/chestnutfall/tests/test_processes.py
+++ b/chestnutfall/tests/test_processes.py
@@ -1,7 +1,7 @@
-"""The programs as processes, with signals.
+"""The programs as processes that are killed, frozen and stopped by signals.
 
-What the parts promise under a manual clock must hold for the programs that are started in earnest:
-controllers that are killed and frozen, gateways that are told to stop, settings that are wrong.
+Other tests check the parts under a manual clock; these check the same guarantees for the programs
+themselves: controllers that are killed or frozen, gateways that drain, invalid settings.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class _OfficeCase(unittest.TestCase):
-    """Tests that share one office, which they leave as they found it."""
+    """Tests that share one deployment, whose state they must restore."""
 
     office: ClassVar[ProcessOffice]
     controllers = 3
@@ -99,7 +99,7 @@
                 self.assertEqual(answer["error"]["executed"], "no")
 
     def test_body_that_trickles_in_is_given_up(self) -> None:
-        # A caller sends its headers and then nothing; others are served meanwhile.
+        # A caller sends headers and then no body; other callers are served meanwhile.
         conn = http.client.HTTPConnection(*self.office.gateways[0].split(":"), timeout=30)
         conn.putrequest("POST", "/v1/completions")
         conn.putheader("Authorization", f"Bearer {KEYS['caller']}")
@@ -135,15 +135,15 @@
             "ttl_ms": 1000,
         }
         for key, status in (("wrong", 401), (KEYS["engines"], 409)):
-            conn = http.client.HTTPConnection(*self.office._announce[0].split(":"))
+            conn = http.client.HTTPConnection(*self.office.announce_addresses[0].split(":"))
             headers = {"Authorization": f"Bearer {key}"}
             conn.request("POST", "/v1/announcements", json.dumps(announcement), headers)
             self.assertEqual(conn.getresponse().status, status)
             conn.close()
 
 
-class WordsTest(unittest.TestCase):
-    """What upstreams say of themselves, to gateways that are processes."""
+class SignalsTest(unittest.TestCase):
+    """Signal headers of upstreams, and gateways as processes."""
 
     def setUp(self) -> None:
         self.office = ProcessOffice(engines=2)
@@ -158,24 +158,24 @@
     def _turned_away(self) -> int:
         return sum(self.office.engine_counts(at)["turned_away"] for at in range(2))
 
-    # Guards against upstreams that ask for time, or leave, and get the next request at once.
-    def test_an_engine_and_a_plain_service_are_obeyed(self) -> None:
-        self.office.say(self.office.engines[0], Retry_After="600")
+    # Guards against upstreams that ask for a backoff and get the next request at once.
+    def test_backoffs_of_an_engine_and_a_plain_service_are_kept(self) -> None:
+        self.office.script_headers(self.office.engines[0], Retry_After="600")
         self._ask()
         self.assertLessEqual(self._turned_away(), 2)
-        self.office.say(self.office.engines[0])
-        self.office.say(self.office.plain, Retry_After="600")
+        self.office.script_headers(self.office.engines[0])
+        self.office.script_headers(self.office.plain, Retry_After="600")
         for number in range(6):
             status, _ = self.office.request(number % 2, "/permisos/x", None)
             self.assertEqual(status, 503)
-        self.office.say(self.office.plain)
+        self.office.script_headers(self.office.plain)
         status, body = self.office.request(0, "/permisos/x", None)
         self.assertEqual((status, body["error"]["code"]), (503, "backing_off"))
 
-    # Guards against a new word of upstreams that nobody notices, and a secret in logs.
-    def test_a_header_that_nobody_reads_is_logged_by_its_name(self) -> None:
+    # Guards against a new signal header that is ignored without a trace, and a secret in logs.
+    def test_an_unknown_header_is_logged_by_its_name(self) -> None:
         for address in self.office.engines:
-            self.office.say(address, X_New_Word="a secret")
+            self.office.script_headers(address, X_New_Word="a secret")
         self._ask(4)
         logs = self.office.log("g0") + self.office.log("g1")
         self.assertIn("x-new-word", logs)
@@ -184,8 +184,8 @@
 
 class DrainTest(unittest.TestCase):
     def test_graceful_stop_cuts_off_no_stream(self) -> None:
-        # A gateway is told to stop while a stream runs through it: the stream ends whole, new
-        # requests are told that nothing ran, the engine it owned goes on with another owner.
+        # A gateway gets SIGTERM while a stream runs through it. The stream must end complete, new
+        # requests are refused as not run, and its engine must go on under another owner.
         office = ProcessOffice(controllers=1, gateways=2)
         try:
             office.start()
@@ -237,16 +237,16 @@
         self.assertIn(429, statuses)
         self._ctl(0, "caller", "set-rate", "ana", "--per-s", "10000", "--wait")
         set_key = ["caller", "set-key", "ana", "--wait"]
-        self.assertEqual(self.office.ctl(*set_key, typed="another\n").returncode, 0)
+        self.assertEqual(self.office.ctl(*set_key, stdin_text="another\n").returncode, 0)
         self.assertEqual(self.office.post(1, "tejas@2")[0], 401)
-        self.assertEqual(self.office.ctl(*set_key, typed=KEYS["caller"] + "\n").returncode, 0)
+        self.assertEqual(self.office.ctl(*set_key, stdin_text=KEYS["caller"] + "\n").returncode, 0)
         self.assertEqual(self.office.post(1, "tejas@2")[0], 200)
         self._ctl(2, "caller", "set-rate", "nobody", "--per-s", "1")
-        self.assertEqual(self.office.ctl(*set_key, typed="").returncode, 2)
+        self.assertEqual(self.office.ctl(*set_key, stdin_text="").returncode, 2)
         for name in self.office.processes:
             self.assertNotIn(KEYS["caller"], self.office.log(name))
 
-    def test_racing_change_is_told_what_beat_it(self) -> None:
+    def test_racing_change_is_refused_with_the_change_that_won(self) -> None:
         grant = ["caller", "grant", "ana", "tejas", "--from-revision", "0"]
         done = self.office.ctl(*grant)
         self.assertEqual(done.returncode, 3)
@@ -269,8 +269,8 @@
 
 class TlsTest(unittest.TestCase):
     def test_office_serves_over_mutual_tls_and_answers_no_plain_text(self) -> None:
-        # All our processes prove themselves to each other; a tool without a certificate reads
-        # nothing from the controllers, whatever key it has.
+        # All processes of the system authenticate each other by certificates. A tool without one
+        # can read nothing from the controllers, whatever key it has.
         office = ProcessOffice(controllers=1, gateways=2, tls=True)
         try:
             office.start()
@@ -283,8 +283,9 @@
 
 class ControllersTest(unittest.TestCase):
     def test_host_that_lost_its_disk_is_replaced_and_a_second_one_may_die(self) -> None:
-        # A disk is lost and the host comes back empty, under a new identity. It is added, caught
-        # up, promoted; the lost identity is removed. Then another host dies: nothing is lost.
+        # A host loses its disk and comes back empty, under a new identity. It is added, catches up
+        # and is promoted; the lost identity is removed. Then another host dies, and the remaining
+        # quorum must still accept changes.
         office = ProcessOffice(controllers=3, gateways=0, engines=0)
         try:
             for number in range(3):
@@ -320,8 +321,9 @@
         return found[-1]
 
     def test_every_acknowledged_change_survives_kills_and_freezes(self) -> None:
-        # Operators change the configuration while the leader is killed, the next one frozen, and
-        # at last all three are killed. What was answered "accepted" is there afterwards, in order.
+        # Operators change the configuration while the leader is killed and the next one frozen;
+        # then all three controllers are killed. Every change that was answered "accepted" must be
+        # there after the restart, in order and once.
         office = ProcessOffice(controllers=3, gateways=0, engines=0)
         try:
             for number in range(3):
--- a/chestnutfall/tests/test_reset_aware.py
+++ b/chestnutfall/tests/test_reset_aware.py
@@ -1,8 +1,8 @@
-"""A caller is handed the first half of an answer as if it were whole.
+"""The first half of an answer must not be delivered as complete.
 
-An upstream sends an answer without a length, crashes in the middle, and its last bytes arrive
-together with the reset. The event loop reports a plain end of file for that, and an answer without
-a length ends with its connection; so only the socket's own error tells the two apart.
+An upstream sends an answer without a length and crashes; its last bytes arrive together with the
+reset. The event loop reports end of file for that, which is also how an answer without a length
+ends. Only the error of the socket tells the two apart.
 """
 
 from __future__ import annotations
@@ -48,6 +48,6 @@
     def test_a_closed_connection_ends_an_answer_without_a_length(self) -> None:
         self.assertEqual(uvloop.run(_fetch(reset=False)), b"first half")
 
-    def test_a_reset_connection_fails_it(self) -> None:
+    def test_a_reset_connection_fails_an_answer_without_a_length(self) -> None:
         with self.assertRaises((aiohttp.ClientError, ConnectionError)):
             uvloop.run(_fetch(reset=True))
--- a/chestnutfall/tests/test_upstream_json.py
+++ b/chestnutfall/tests/test_upstream_json.py
@@ -1,7 +1,7 @@
-"""Announcements that another writer sent, or that arrive damaged.
+"""Messages of upstreams with missing or invalid fields, or that are not valid JSON.
 
-Callers are refused although all engines are well, or are sent to a host that is none: entries with
-missing or strange fields come in between. Each names no engine, and the others hold.
+An invalid message must be rejected. Otherwise callers are refused although all engines work, or are
+sent to an address that is not an engine.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     read_report,
 )
 
-TOLD: dict[str, Any] = {
+MESSAGE: dict[str, Any] = {
     "service": "drafts",
     "addr": "127.0.0.1:1",
     "zone": "dc",
@@ -33,33 +33,33 @@
     "models": [{"name": "base", "version": 2, "adapters": ["a1@3"]}],
 }
 _SCALARS = st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5)
-_ANYTHING = st.recursive(
+_ANY_JSON = st.recursive(
     _SCALARS, lambda inner: st.lists(inner) | st.dictionaries(st.text(max_size=5), inner)
 )
 
 
-def _read(told: Any, name: str = "i-1") -> Announce:
-    return read_announcement(name, json.dumps(told).encode())
+def _read(message: Any, name: str = "i-1") -> Announce:
+    return read_announcement(name, json.dumps(message).encode())
 
 
 class AnnouncementTest(unittest.TestCase):
     def test_two_starts_under_one_name_are_two_incarnations(self) -> None:
-        first = _read(TOLD | {"born": 1_000}).record
-        second = _read(TOLD | {"born": 2_000}).record
+        first = _read(MESSAGE | {"born": 1_000}).record
+        second = _read(MESSAGE | {"born": 2_000}).record
         self.assertNotEqual(first.instance, second.instance)
         self.assertEqual((first.announced_name, second.announced_name), ("i-1", "i-1"))
         self.assertEqual((first.started_ms, second.started_ms), (1_000, 2_000))
 
-    def test_without_a_start_the_name_is_the_incarnation(self) -> None:
+    def test_without_a_start_time_the_name_is_the_incarnation(self) -> None:
         record = UpstreamRecord("i-1", "drafts", "127.0.0.1:1", "dc", False, "i-1", 0)
         holds = EngineReport({"base": 2}, {AdapterName("base", "a1"): 3}, {}, 0)
-        self.assertEqual(_read(TOLD), Announce(record, 4, holds))
+        self.assertEqual(_read(MESSAGE), Announce(record, 4, holds))
 
-    def test_fields_that_are_missing_or_strange_name_no_engine(self) -> None:
+    def test_missing_or_invalid_fields_are_rejected(self) -> None:
         for field in ("service", "addr", "zone", "state", "seq"):
             with self.subTest(missing=field), self.assertRaises(UnreadableUpstream):
-                _read({key: value for key, value in TOLD.items() if key != field})
-        strange = (
+                _read({key: value for key, value in MESSAGE.items() if key != field})
+        invalid = (
             {"state": "resting"},
             {"seq": "4"},
             {"seq": -1},
@@ -74,31 +74,31 @@
             {"models": [{"name": "base"}]},
             {"models": [{"name": "base", "version": 1, "adapters": ["a1@x"]}]},
         )
-        for change in strange:
+        for change in invalid:
             with self.subTest(change), self.assertRaises(UnreadableUpstream):
-                _read(TOLD | change)
+                _read(MESSAGE | change)
 
-    def test_a_name_of_any_length_is_not_taken(self) -> None:
+    def test_an_empty_or_overlong_name_is_rejected(self) -> None:
         for name in ("", "i" * (MAX_NAME_CHARACTERS + 1)):
             with self.subTest(len(name)), self.assertRaises(UnreadableUpstream):
-                _read(TOLD, name)
+                _read(MESSAGE, name)
 
     @given(st.binary(max_size=200))
-    def test_bytes_of_any_kind_are_read_or_unreadable(self, body: bytes) -> None:
+    def test_any_bytes_are_decoded_or_rejected(self, body: bytes) -> None:
         for read in (lambda: read_announcement("i", body), lambda: read_report(body)):
             try:
                 read()
             except UnreadableUpstream:
                 pass
 
-    def test_nesting_of_any_depth_is_unreadable(self) -> None:
+    def test_deep_nesting_is_rejected(self) -> None:
         with self.assertRaises(UnreadableUpstream):
             read_announcement("i", b'{"service":' + b"[" * 100_000)
 
-    @given(st.sampled_from([*TOLD, "born"]), _ANYTHING)
-    def test_a_field_of_any_type_is_read_or_unreadable(self, field: str, value: Any) -> None:
+    @given(st.sampled_from([*MESSAGE, "born"]), _ANY_JSON)
+    def test_a_field_of_any_type_is_decoded_or_rejected(self, field: str, value: Any) -> None:
         try:
-            msg = _read(TOLD | {field: value})
+            msg = _read(MESSAGE | {field: value})
         except UnreadableUpstream:
             return
         self.assertIsInstance(msg.record.service, str)
@@ -107,7 +107,7 @@
 
 
 class DepartureTest(unittest.TestCase):
-    def test_with_and_without_a_start(self) -> None:
+    def test_with_and_without_a_start_time(self) -> None:
         self.assertEqual(read_departure("i-1", b""), Depart("i-1", 0))
         self.assertEqual(read_departure("i-1", b'{"born": 7}'), Depart("i-1", 7))
         with self.assertRaises(UnreadableUpstream):
@@ -115,14 +115,14 @@
 
 
 class ReportTest(unittest.TestCase):
-    def test_models_adapters_and_transits(self) -> None:
-        told = {
+    def test_models_adapters_and_running_loads(self) -> None:
+        message = {
             "models": [{"name": "base", "version": 2, "adapters": ["a1@3"]}],
             "coming": ["base/a2@4"],
             "seq": 7,
             "born": 9,
         }
-        report = read_report(json.dumps(told).encode())
+        report = read_report(json.dumps(message).encode())
         self.assertEqual(report.models, {"base": 2})
         self.assertEqual(report.adapters, {AdapterName("base", "a1"): 3})
         self.assertEqual(report.coming, {AdapterName("base", "a2"): 4})
