--- a/chestnutfall/programs/__init__.py
+++ b/chestnutfall/programs/__init__.py
@@ -1,1 +1,1 @@
-"""Entry points of the programs."""
+"""Entry points of the command-line programs."""
--- a/chestnutfall/programs/certificates.py
+++ b/chestnutfall/programs/certificates.py
@@ -1,26 +1,29 @@
-"""Certificates that a program does without."""
+"""Import of aiohttp without the host's CA certificates."""
 
 from __future__ import annotations
 
 import importlib
 import os
 
-_NONE = {"SSL_CERT_FILE": os.devnull, "SSL_CERT_DIR": os.devnull}
+_NO_CERTIFICATES = {"SSL_CERT_FILE": os.devnull, "SSL_CERT_DIR": os.devnull}
 
 
 def import_http_without_certificates() -> None:
-    """Import aiohttp such that it does not read the host's certificates.
+    """Import aiohttp without letting it load the host's CA certificates.
 
-    It reads all of them twice when it is imported: 60 of the 330 ms of processor time that a
-    gateway needs to start (`python -X importtime`), also in a program that never opens a TLS
-    connection to a stranger. Connections with a TLS context of their own are not concerned.
+    On import, aiohttp reads all certificates of the host twice. This takes 60 of the 330 ms of
+    processor time that a gateway needs to start, even in programs that never open a TLS
+    connection outside the deployment. The environment variables are restored afterwards.
+    Connections that pass their own TLS context are not affected.
+
+    Call this before any other module imports aiohttp.
     """
-    before = {name: os.environ.get(name) for name in _NONE}
-    os.environ.update(_NONE)
+    saved = {name: os.environ.get(name) for name in _NO_CERTIFICATES}
+    os.environ.update(_NO_CERTIFICATES)
     try:
         importlib.import_module("aiohttp")
     finally:
-        for name, value in before.items():
+        for name, value in saved.items():
             if value is None:
                 del os.environ[name]
             else:
--- a/chestnutfall/programs/controller.py
+++ b/chestnutfall/programs/controller.py
@@ -1,4 +1,4 @@
-"""`chestnutfall-controller`: one replica of the office's state."""
+"""`chestnutfall-controller`: runs one replica of the replicated control state."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 from ..observability.json_logs import start_logs
 from ..settings.controller_settings import ControllerSettings
 from ..wire import RpcServer
+from .command_line import load_settings, make_parser
 from .event_loop import run
-from .runner import load_settings, parser
 
 log = logging.getLogger(__name__)
 EXIT_STORAGE = 3
 
 
 def main() -> None:
-    """Parse the command line and run one controller until SIGTERM."""
-    cli = parser(
+    """Parse the command line and run one controller until SIGTERM or SIGINT."""
+    cli = make_parser(
         "chestnutfall-controller",
         "Keeps one replica of the configuration, ownership and claims of an office.",
     )
@@ -51,10 +51,11 @@
 
 
 async def _serve(settings: ControllerSettings, bootstrap: bool, stop: asyncio.Event) -> int:
+    """Run the replica until `stop` is set or the replica fails; return the exit code."""
     try:
         folder = DiskFolder(Path(settings.data_folder))
         storage = FileStorage(folder)
-        replica_id = await _identity(settings, bootstrap, folder, storage)
+        replica_id = await _load_or_create_identity(settings, bootstrap, folder, storage)
     except (FolderInUse, FileExistsError, CorruptFile, OSError) as exc:
         log.error("storage: %s", exc)
         return EXIT_STORAGE
@@ -98,17 +99,24 @@
     return EXIT_STORAGE if failed else 0
 
 
-async def _identity(
+async def _load_or_create_identity(
     settings: ControllerSettings, bootstrap: bool, folder: DiskFolder, storage: FileStorage
 ) -> str:
+    """Return the replica's id; an empty data folder first gets a new one.
+
+    Raises
+    ------
+    FileExistsError
+        When `bootstrap` is set and the data folder is not empty.
+    """
     if bootstrap:
         if not storage.is_empty:
-            raise FileExistsError("--bootstrap is for an empty data folder")
+            raise FileExistsError("--bootstrap requires an empty data folder")
         members = tuple(Member(one.name, one.address) for one in settings.first_members)
         await bootstrap_founder(folder, storage, settings.name, members)
     elif storage.is_empty:
-        fresh = await assign_new_identity(folder, storage, settings.name)
-        log.warning("control: empty data folder, waiting to be added as %s", fresh)
+        new_id = await assign_new_identity(folder, storage, settings.name)
+        log.warning("control: empty data folder, waiting to be added as %s", new_id)
     return read_identity(folder)
 
 
--- a/chestnutfall/programs/ctl.py
+++ b/chestnutfall/programs/ctl.py
@@ -1,4 +1,4 @@
-"""`chestnutfallctl`: the operators' command line."""
+"""`chestnutfallctl`: the command line for operators."""
 
 from __future__ import annotations
 
@@ -44,6 +44,7 @@
         for finding in parsed.error:
             print(finding, file=sys.stderr)
         sys.exit(ExitCode.REFUSED)
+    # The hosts forbid io_uring.
     os.environ["UV_USE_IO_URING"] = "0"
     try:
         key = Path(parsed.ok.key_file).read_text(encoding="utf-8").strip()
@@ -55,6 +56,7 @@
 
 async def _run(settings: OperatorSettings, key: str, args: argparse.Namespace) -> int:
     tls = settings.tls.files() if settings.tls else None
+    # Identifying a host asks that host alone, so it needs no session with the controllers.
     if args.command is host_commands.host_identify:
         return int(await host_commands.host_identify(args.address, tls))
     clock = SystemClock()
@@ -82,7 +84,7 @@
     _add_upstream(_group(groups, "upstream", "engines and plain services"))
     _add_host(_group(groups, "host", "controllers and gateways"))
     audit = _command(groups, "audit", config_commands.history, "every accepted change")
-    _history_options(audit)
+    _add_history_options(audit)
     return top
 
 
@@ -91,12 +93,12 @@
 
 
 def _command(group: Any, name: str, command: Any, text: str) -> argparse.ArgumentParser:
-    made: argparse.ArgumentParser = group.add_parser(name, help=text, description=text)
-    made.set_defaults(command=command)
-    return made
+    cli: argparse.ArgumentParser = group.add_parser(name, help=text, description=text)
+    cli.set_defaults(command=command)
+    return cli
 
 
-def _change_options(cli: argparse.ArgumentParser) -> None:
+def _add_change_options(cli: argparse.ArgumentParser) -> None:
     cli.add_argument("--dry-run", action="store_true", help="validate and show, change nothing")
     cli.add_argument("--note", default="", help="why; kept in the audit")
     cli.add_argument("--change-id", help="send a change again whose answer was lost")
@@ -115,15 +117,15 @@
         cli.add_argument("base", type=Path, help="base file")
         cli.add_argument("--overlays", type=Path, help="folder with SITE.json for each site")
         if name == "apply":
-            _change_options(cli)
+            _add_change_options(cli)
     shown = _command(group, "show", config_commands.show_config, "print what is in force")
     shown.add_argument("--site", help="only what is in force at this data centre")
-    _history_options(_command(group, "history", config_commands.history, "accepted changes"))
+    _add_history_options(_command(group, "history", config_commands.history, "accepted changes"))
     verify = _command(group, "verify", config_commands.verify, "prove what is in force")
     verify.add_argument("--silent-ms", type=int, default=1500, help="older reports are problems")
 
 
-def _history_options(cli: argparse.ArgumentParser) -> None:
+def _add_history_options(cli: argparse.ArgumentParser) -> None:
     cli.add_argument("--after", type=int, default=0, help="only revisions after this")
     cli.add_argument("--patches", action="store_true", help="with what each changed")
 
@@ -144,7 +146,7 @@
             cli.add_argument("--non-idempotent", action="store_true")
         if name == "add-version":
             cli.add_argument("--default", action="store_true")
-        _change_options(cli)
+        _add_change_options(cli)
     _command(group, "list", entry_commands.adapter_list, "list adapters")
 
 
@@ -156,14 +158,14 @@
         cli = _command(group, name, command, f"{name} adapters")
         cli.add_argument("name")
         cli.add_argument("adapters", nargs="+")
-        _change_options(cli)
+        _add_change_options(cli)
     _command(group, "list", caller_commands.caller_list, "list callers and what is left of rates")
     key = _command(group, "set-key", caller_commands.caller_set_key, "read a new key from stdin")
     rate = _command(group, "set-rate", caller_commands.caller_set_rate, "change a caller's rate")
     remove = _command(group, "remove", caller_commands.caller_remove, "take a caller's key away")
     for cli in (key, rate, remove):
         cli.add_argument("name")
-        _change_options(cli)
+        _add_change_options(cli)
     rate.add_argument("--per-s", type=float, required=True, help="requests, through all gateways")
 
 
@@ -172,7 +174,7 @@
     drain = _command(group, "drain", entry_commands.upstream_drain, "send it no new work")
     drain.add_argument("name")
     drain.add_argument("--undo", action="store_true")
-    _change_options(drain)
+    _add_change_options(drain)
 
 
 def _add_host(group: Any) -> None:
--- a/chestnutfall/programs/engine.py
+++ b/chestnutfall/programs/engine.py
@@ -1,4 +1,4 @@
-"""`chestnutfall-engine`: a small stand-in engine."""
+"""`chestnutfall-engine`: a simulated engine for tests and demonstrations."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
 from ..standin.engine_app import EngineApp
 from ..standin.engine_core import EngineCore
 from ..wire.http_listener import listen
+from .command_line import load_settings, make_parser
 from .event_loop import run
-from .runner import load_settings, parser
 
 
 def main() -> None:
-    """Parse the command line and run one stand-in engine until SIGTERM."""
-    cli = parser("chestnutfall-engine", "Stands in for a model engine with few adapter slots.")
+    """Parse the command line and run one simulated engine until SIGTERM or SIGINT."""
+    cli = make_parser("chestnutfall-engine", "Stands in for a model engine with few adapter slots.")
     settings = load_settings(EngineSettings, cli.parse_args())
     run(lambda stop: _serve(settings, stop))
 
 
 async def _serve(settings: EngineSettings, stop: asyncio.Event) -> int:
+    """Serve until `stop`, then announce the departure and finish the requests in progress."""
     core = EngineCore(
         settings.slots,
         settings.load_ms,
--- a/chestnutfall/programs/event_loop.py
+++ b/chestnutfall/programs/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop that every program runs on."""
+"""Start of the event loop that the long-running programs use."""
 
 from __future__ import annotations
 
@@ -11,8 +11,14 @@
 
 
 def run(work: Callable[[asyncio.Event], Awaitable[int]]) -> None:
-    """Run `work` on uvloop; its event is set by SIGTERM or SIGINT. Exits with its result."""
-    # The hosts forbid io_uring; libuv opens a ring unless this is set before the loop is made.
+    """Run a coroutine on uvloop and exit the process with the code that it returns.
+
+    Parameters
+    ----------
+    work : callable
+        Gets an event that SIGTERM and SIGINT set, and returns the exit code of the process.
+    """
+    # The hosts forbid io_uring; libuv opens a ring unless this is set before the loop is created.
     os.environ["UV_USE_IO_URING"] = "0"
     import uvloop
 
@@ -23,8 +29,8 @@
             loop.add_signal_handler(signum, stop.set)
         return await work(stop)
 
-    # What was imported lives as long as the program. A full collection that looks at all of it
-    # stops every request for 30 ms on a core of its own (`gc.collect` after the imports of a
-    # platform gateway), twice as long on half a core.
+    # Imported modules live as long as the process, so the collector need not traverse them. A
+    # full collection that does stops every request for 30 ms on a whole core, and for twice as
+    # long on half a core, with the modules of a platform gateway.
     gc.freeze()
     sys.exit(uvloop.run(main()))
--- a/chestnutfall/programs/gateway.py
+++ b/chestnutfall/programs/gateway.py
@@ -1,4 +1,4 @@
-"""`chestnutfall-gateway`: the program on every entry host."""
+"""`chestnutfall-gateway`: runs one gateway, which takes the requests of callers."""
 
 from __future__ import annotations
 
@@ -37,18 +37,18 @@
 from ..signals.own_headers import OWN_SIGNALS
 from ..wire import RpcServer
 from ..wire.http_listener import listen
+from .command_line import load_settings, make_parser
 from .event_loop import run
-from .runner import load_settings, parser
 
 log = logging.getLogger(__name__)
-DRAIN_POLL_MS = 50
-WHOLE = 1.0
-"""Plain upstreams have no leader here; gateways share all that they take."""
+POLL_MS = 50
+PLAIN_LIMIT_FRACTION = 1.0
+"""No leader counts the requests to plain upstreams, so the gateways share their whole limits."""
 
 
 def main() -> None:
-    """Parse the command line and run one gateway until SIGTERM, then drain."""
-    cli = parser(
+    """Parse the command line and run one gateway until SIGTERM or SIGINT, then drain."""
+    cli = make_parser(
         "chestnutfall-gateway",
         "Takes requests of callers and sends each to an engine with the exact adapter.",
     )
@@ -59,7 +59,7 @@
 
 
 class _Gateway:
-    """The parts of one gateway, wired together."""
+    """Builds the components of one gateway and runs them."""
 
     def __init__(self, settings: GatewaySettings) -> None:
         self._settings = settings
@@ -81,7 +81,7 @@
         )
         self._api = HttpEngineApi(UnreadHeaders((*OWN_SIGNALS.all, ATTEMPT_HEADER), metrics.count))
         permits = ControllerPermits(self._client, session, self._clock)
-        self._desk = EngineOwners(
+        self._owners = EngineOwners(
             self._agent,
             self._registry,
             self._api,
@@ -90,15 +90,21 @@
             metrics,
             lambda other: self._is_gone(other),
         )
-        self._peer_server = PeerServer(self._desk, self._clock)
-        self._links = PeerLinks(self._agent, self._desk, self._clock, tls)
+        self._peer_server = PeerServer(self._owners, self._clock)
+        self._links = PeerLinks(self._agent, self._owners, self._clock, tls)
         self._claims = ClaimClient(self._client, session)
         reports = ReportSender(self._client)
         quarantine = RequestQuarantine(reports.send, refuses_connections, self._clock)
         self._agent.on_suspects = quarantine.update
         self._registry.on_replaced = quarantine.note_replaced
-        limits = KnownLimits(self._tell_limit, self._gateways, self._clock, random.Random(), WHOLE)
-        backoffs = KnownBackoffs(self._tell_backoff, self._clock)
+        limits = KnownLimits(
+            self._report_limit,
+            self._gateway_count,
+            self._clock,
+            random.Random(),
+            PLAIN_LIMIT_FRACTION,
+        )
+        backoffs = KnownBackoffs(self._report_backoff, self._clock)
         signals = KnownSignals(limits, backoffs, self._clock)
         self._plain = PlainProxy(
             self._agent,
@@ -110,11 +116,11 @@
             metrics,
             settings.data_centre,
         )
-        line = ControlQuotaLine(self._client, self._clock)
+        quota_client = ControlQuotaLine(self._client, self._clock)
         self._quotas = QuotaEnforcer(
-            line, self._gateways, CALLER_QUOTA_BOUNDS, self._clock, random.Random()
+            quota_client, self._gateway_count, CALLER_QUOTA_BOUNDS, self._clock, random.Random()
         )
-        line.on_news = self._quotas.apply
+        quota_client.on_news = self._quotas.apply
         dispatcher = Dispatcher(
             self._agent,
             self._registry,
@@ -140,30 +146,30 @@
         )
         self._tls = tls
         self._registry.is_drained = lambda name: self._agent.config.is_drained(name)
-        self._agent.acting = self._desk.acting
+        self._agent.acting = self._owners.acting
         self._agent.on_change = self._on_change
 
-    def _tell_limit(self, heard: HeardLimit) -> None:
+    def _report_limit(self, heard: HeardLimit) -> None:
         self._links.report_limit(heard.instance.partition("/")[0], heard)
 
-    def _tell_backoff(self, heard: HeardBackoff) -> None:
+    def _report_backoff(self, heard: HeardBackoff) -> None:
         self._links.report_backoff(heard.instance.partition("/")[0], heard)
 
-    def _gateways(self) -> int:
+    def _gateway_count(self) -> int:
         return len(self._agent.gateways)
 
     def _on_change(self) -> None:
-        self._desk.reconcile_ownership()
+        self._owners.reconcile_ownership()
         self._links.update_links()
 
     def _is_gone(self, session: str) -> bool:
-        """Whether a gateway has neither a session with the controllers nor a stream to us."""
+        """Whether a gateway has neither a controller session nor a stream to this gateway."""
         if session == self._agent.session:
             return False
         return session not in self._agent.gateways and not self._peer_server.is_connected(session)
 
     async def serve(self, stop: asyncio.Event) -> int:
-        """Serve until `stop`, then drain."""
+        """Serve until `stop`, then drain; return the exit code of the process."""
         peers = RpcServer(self._settings.peer_listen, self._tls)
         peers.add_stream(TICKETS_METHOD, TICKET_CODEC, self._peer_server.serve)
         await peers.start()
@@ -175,11 +181,11 @@
         await listen(callers, self._settings.listen)
         log.info("gateway: %s listens on %s", self._settings.name, self._settings.listen)
         agent = asyncio.ensure_future(self._agent.run())
-        owners = asyncio.ensure_future(self._watch_leases())
+        lease_watch = asyncio.ensure_future(self._watch_leases())
         quotas = asyncio.ensure_future(self._quotas.run())
         await stop.wait()
         await self._drain(agent)
-        owners.cancel()
+        lease_watch.cancel()
         quotas.cancel()
         await callers.cleanup()
         await announced.cleanup()
@@ -192,25 +198,29 @@
         return 0
 
     async def _watch_leases(self) -> None:
-        """Stop acting for engines when the session's lease runs out without a word."""
+        """Give up owned engines when the lease of this session expires.
+
+        Without messages from the controllers no other event triggers this check.
+        """
         while True:
-            await self._clock.sleep_ms(DRAIN_POLL_MS)
-            self._desk.reconcile_ownership()
+            await self._clock.sleep_ms(POLL_MS)
+            self._owners.reconcile_ownership()
 
     async def _drain(self, agent: asyncio.Task[None]) -> None:
-        """Leave without cutting anything off.
+        """Leave the deployment without interrupting requests.
 
-        First "not ready", so that the balancer sends no new callers; then new requests are
-        refused; then engines are handed over; then requests in progress end by themselves.
+        The readiness check fails first, so that the load balancer sends no new callers. After
+        `not_ready_ms`, new requests are refused and those in progress run to their end. Then the
+        engines are handed over, and a last heartbeat tells the controllers of the departure.
         """
         log.info("gateway: draining with %d requests in progress", self._app.in_progress)
         self._app.ready = False
         await self._clock.sleep_ms(self._settings.not_ready_ms)
         self._app.refusing = True
         while self._app.in_progress:
-            await self._clock.sleep_ms(DRAIN_POLL_MS)
+            await self._clock.sleep_ms(POLL_MS)
         self._agent.leaving = True
-        await self._desk.close()
+        await self._owners.close()
         agent.cancel()
         await asyncio.gather(agent, return_exceptions=True)
         await self._agent.send_heartbeat()
--- a/chestnutfall/programs/load.py
+++ b/chestnutfall/programs/load.py
@@ -1,4 +1,4 @@
-"""`chestnutfall-load`: offers an open-loop load and reports what came of it."""
+"""`chestnutfall-load`: sends an open-loop load and reports outcomes and latencies."""
 
 from __future__ import annotations
 
@@ -15,8 +15,9 @@
 
 
 def main() -> None:
-    """Parse the command line, offer the load, print table or JSON."""
+    """Parse the command line, send the load and print its report as a table or JSON."""
     args = _parser().parse_args()
+    # The hosts forbid io_uring; libuv opens a ring unless this is set before the loop is created.
     os.environ["UV_USE_IO_URING"] = "0"
     import uvloop
 
@@ -40,7 +41,9 @@
     table = Table("class", "answers", "first p50", "p95", "p99", "whole p50", "p95", "p99")
     for name, first in sorted(report["first_event_ms"].items()):
         whole = report["whole_answer_ms"][name]
-        times = (f"{found[p]:.1f}" for found in (first, whole) for p in ("p50", "p95", "p99"))
+        times = (
+            f"{percentiles[p]:.1f}" for percentiles in (first, whole) for p in ("p50", "p95", "p99")
+        )
         table.add_row(name, str(first["count"]), *times)
     Console().print(table)
     print(f"outcomes: {report['outcomes']}")
--- a/chestnutfall/programs/plain.py
+++ b/chestnutfall/programs/plain.py
@@ -1,4 +1,4 @@
-"""`chestnutfall-plain`: a small stand-in for a plain service."""
+"""`chestnutfall-plain`: a simulated plain upstream for tests and demonstrations."""
 
 from __future__ import annotations
 
@@ -15,24 +15,29 @@
 from ..standin.announcer import Announcer
 from ..standin.scripted_headers import ScriptedHeaders
 from ..wire.http_listener import listen
+from .command_line import load_settings, make_parser
 from .event_loop import run
-from .runner import load_settings, parser
 
 
 def main() -> None:
-    """Parse the command line and run one stand-in service until SIGTERM."""
-    cli = parser("chestnutfall-plain", "Stands in for a plain service; it counts its calls.")
+    """Parse the command line and run one simulated upstream until SIGTERM or SIGINT."""
+    cli = make_parser("chestnutfall-plain", "Stands in for a plain service; it counts its calls.")
     settings = load_settings(PlainSettings, cli.parse_args())
     run(lambda stop: _serve(settings, stop))
 
 
 async def _serve(settings: PlainSettings, stop: asyncio.Event) -> int:
+    """Serve until `stop`, then announce the departure.
+
+    Every answer holds the number of calls so far for each method and path, so that a test can
+    check that a request ran exactly once.
+    """
     incarnation = uuid.uuid4().hex
     calls: Counter[str] = Counter()
-    words = ScriptedHeaders()
+    signals = ScriptedHeaders()
 
     async def answer(request: web.Request) -> web.Response:
-        if words.refuses_request():
+        if signals.refuses_request():
             headers = {EXECUTED_HEADER: EXECUTED_NO}
             return web.json_response({"error": "asks for time"}, status=503, headers=headers)
         calls[f"{request.method} {request.path}"] += 1
@@ -51,7 +56,7 @@
         }
 
     app = web.Application()
-    words.attach(app)
+    signals.attach(app)
     app.router.add_route("*", "/{tail:.*}", answer)
     runner = web.AppRunner(app, access_log=None)
     await listen(runner, settings.listen)
