--- a/chestnutfall/operators/__init__.py
+++ b/chestnutfall/operators/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' command line."""
+"""Commands of `chestnutfallctl`, the command line for operators."""
 
 from __future__ import annotations
 
--- a/chestnutfall/operators/caller_commands.py
+++ b/chestnutfall/operators/caller_commands.py
@@ -1,4 +1,4 @@
-"""`chestnutfallctl caller list|set-key|set-rate|remove`: who may call, and how much."""
+"""`chestnutfallctl caller list|set-key|set-rate|remove`: keys and rate limits of callers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def caller_list(session: OperatorSession, args: argparse.Namespace) -> int:
-    """List callers, their rates, and how much of these is left now."""
+    """List callers with their rate limits and the part of each that is left now."""
     view = await session.quotas()
     rows = ((one.name, one.per_s, f"{one.left:g}", one.short) for one in view.callers)
     columns = ("caller", "requests a second", "left at once", "asked for each")
@@ -23,8 +23,15 @@
 
 
 async def caller_set_key(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Give a caller another key; the one before opens nothing from then on."""
-    # Typed or piped, it stands neither in the shell's history nor in the list of processes.
+    """Replace the key of a caller; its old key is refused once the change is in force.
+
+    Raises
+    ------
+    CommandFailed
+        When the new key is empty or the caller does not exist.
+    """
+    # A key given as an argument would appear in the shell history and in the process list, so it
+    # is read from standard input or typed at a prompt.
     piped = not sys.stdin.isatty()
     key = sys.stdin.readline().strip() if piped else getpass.getpass("new key: ")
     if not key:
@@ -33,17 +40,18 @@
 
 
 async def caller_set_rate(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Change the rate of a caller over all gateways."""
+    """Change the rate limit of a caller, which holds for all gateways together."""
     return await _change(session, args, {"rate_per_s": args.per_s})
 
 
 async def caller_remove(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Take a caller and its key away."""
+    """Remove a caller and so its key."""
     return await _change(session, args, None)
 
 
 async def _change(
     session: OperatorSession, args: argparse.Namespace, entry: dict[str, object] | None
 ) -> int:
+    # Fails for a caller that does not exist, which the patch would otherwise create.
     await base_entry(session, "callers", args.name)
     return await patch_base(session, args, "callers", args.name, entry)
--- a/chestnutfall/operators/config_commands.py
+++ b/chestnutfall/operators/config_commands.py
@@ -1,4 +1,4 @@
-"""`chestnutfallctl config ...`"""
+"""`chestnutfallctl config ...` and `audit`: the configuration and its history."""
 
 from __future__ import annotations
 
@@ -19,7 +19,25 @@
 
 
 def read_files(base: Path, overlays: Path | None) -> dict[str, Any]:
-    """Read the base file and `SITE.json` for each overlay; all findings at once."""
+    """Read the layers of a configuration from files.
+
+    Parameters
+    ----------
+    base : Path
+        File of the base layer.
+    overlays : Path or None
+        Folder with one `SITE.json` for each data centre that has an overlay.
+
+    Returns
+    -------
+    dict of str to Any
+        Content of each layer by its name.
+
+    Raises
+    ------
+    CommandFailed
+        When files are invalid; the message holds the findings of all files.
+    """
     files = {BASE_LAYER: base}
     for path in sorted(overlays.glob("*.json")) if overlays else ():
         files[site_layer(path.stem)] = path
@@ -39,7 +57,7 @@
 
 
 def patches_between(before: dict[str, Any], after: dict[str, Any]) -> dict[str, Any]:
-    """The change that makes layers `before` into `after`."""
+    """Return the patch of each layer that turns layers `before` into `after`."""
     patches: dict[str, Any] = {}
     for layer in sorted({*before, *after}):
         old, new = before.get(layer, {}), after.get(layer, {})
@@ -55,6 +73,7 @@
 
 
 def _overlay_patch(old: dict[str, Any], new: dict[str, Any]) -> dict[str, Any]:
+    """Return the changed entries whole; an entry that `new` lacks becomes an empty object."""
     patch: dict[str, Any] = {}
     for section in sorted({*old, *new}):
         before, after = old.get(section, {}), new.get(section, {})
@@ -67,7 +86,7 @@
 
 
 async def check(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Validate files against what is in force, without changing it."""
+    """Validate files against the configuration in force, without changing it."""
     revision, before = await session.layers()
     patches = patches_between(before, read_files(args.base, args.overlays))
     await session.change(patches, revision, "", "", dry_run=True)
@@ -76,7 +95,7 @@
 
 
 async def diff(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Show the change that the files would make."""
+    """Print the patches that applying the files would make."""
     revision, before = await session.layers()
     patches = patches_between(before, read_files(args.base, args.overlays))
     print(json.dumps({"from_revision": revision, "patches": patches}, indent=2))
@@ -84,7 +103,7 @@
 
 
 async def apply(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Make the files the configuration."""
+    """Replace the configuration by that of the files."""
     revision, before = await session.layers()
     patches = patches_between(before, read_files(args.base, args.overlays))
     if not patches:
@@ -96,7 +115,18 @@
 async def make_change(
     session: OperatorSession, args: argparse.Namespace, patches: dict[str, Any], revision: int
 ) -> int:
-    """Check, make and if asked wait for a change."""
+    """Make a change, or only validate it with `--dry-run`.
+
+    With `--wait`, waits until the change is in force at every live gateway. The change id is
+    printed before the change is sent: an operator who gets no answer sends the same change again
+    under this id, and it takes effect at most once.
+
+    Parameters
+    ----------
+    revision : int
+        Revision that the patches were computed from; `--from-revision` overrides it. The change
+        is refused if the configuration has another revision by then.
+    """
     if args.from_revision is not None:
         revision = args.from_revision
     if args.dry_run:
@@ -118,7 +148,7 @@
 
 
 async def show_config(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Print the layers, or what is in force at one site."""
+    """Print all layers, or the merged configuration in force at one data centre."""
     if args.site:
         view = await session.site(args.site)
         document = json.loads(view.document)
@@ -134,7 +164,7 @@
 
 
 async def history(session: OperatorSession, args: argparse.Namespace) -> int:
-    """List accepted changes."""
+    """List accepted changes from the audit log."""
     records = (await session.audit(args.after)).records
     rows = (
         (
@@ -154,7 +184,11 @@
 
 
 async def verify(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Prove that the audit's chain is whole and in force on every live gateway."""
+    """Verify the hash chain of the audit log and the configuration of every live gateway.
+
+    A gateway is a problem if its revision or digest is not the expected one, or if its last
+    heartbeat is older than `--silent-ms`.
+    """
     status = await session.status()
     problems = list(_chain_problems((await session.audit(0)).records))
     for gateway in status.gateways:
@@ -174,11 +208,12 @@
 
 
 def _chain_problems(records: tuple[AuditRecord, ...]) -> list[str]:
+    """Return a problem for each record with a wrong hash, predecessor or revision."""
     problems = []
     previous = FIRST_HASH
     for number, record in enumerate(records, start=1):
-        genuine = record.has_valid_hash() and record.previous_hash == previous
-        if not genuine or record.revision != number:
+        is_valid = record.has_valid_hash() and record.previous_hash == previous
+        if not is_valid or record.revision != number:
             problems.append(f"audit record {number} does not fit the chain")
         previous = record.chain_hash
     return problems
--- a/chestnutfall/operators/entry_commands.py
+++ b/chestnutfall/operators/entry_commands.py
@@ -1,4 +1,4 @@
-"""`chestnutfallctl adapter|caller|upstream ...`: small changes of single entries."""
+"""`chestnutfallctl adapter|caller|upstream ...`: changes of single entries of the base layer."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 async def patch_base(
     session: OperatorSession, args: argparse.Namespace, section: str, name: str, entry: Any
 ) -> int:
-    """Change one entry of the base; None takes it away."""
+    """Merge `entry` into one entry of the base layer; None removes that entry."""
     revision, _ = await session.layers()
     return await make_change(session, args, {BASE_LAYER: {section: {name: entry}}}, revision)
 
 
 async def base_entry(session: OperatorSession, section: str, name: str) -> dict[str, Any]:
-    """An entry of the base.
+    """Return an entry of the base layer.
 
     Raises
     ------
     CommandFailed
-        When there is none of this name.
+        When the section has no entry of this name.
     """
     _, layers = await session.layers()
     entry = layers[BASE_LAYER].get(section, {}).get(name)
@@ -39,7 +39,13 @@
 
 
 async def adapter_create(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Create an adapter with its first version."""
+    """Create an adapter with its first version.
+
+    Raises
+    ------
+    CommandFailed
+        When the adapter exists already.
+    """
     _, layers = await session.layers()
     if args.name in layers[BASE_LAYER].get("adapters", {}):
         raise CommandFailed(ExitCode.REFUSED, f"{args.name} exists; use add-version")
@@ -52,7 +58,7 @@
 
 
 async def adapter_add_version(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Add a version to an adapter."""
+    """Add a version to an adapter, and make it the default with `--default`."""
     await base_entry(session, "adapters", args.name)
     entry: dict[str, Any] = {"versions": {args.version: args.digest}}
     if args.default:
@@ -61,14 +67,14 @@
 
 
 async def adapter_retire(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Retire one version, or the whole adapter."""
+    """Remove one version of an adapter, or the whole adapter without `--version`."""
     await base_entry(session, "adapters", args.name)
     entry = {"versions": {args.version: None}} if args.version else None
     return await patch_base(session, args, "adapters", args.name, entry)
 
 
 async def adapter_list(session: OperatorSession, args: argparse.Namespace) -> int:
-    """List adapters of the base."""
+    """List the adapters of the base layer with their versions."""
     _, layers = await session.layers()
     adapters = layers[BASE_LAYER].get("adapters", {})
     rows = ((n, a["service"], ", ".join(a["versions"])) for n, a in sorted(adapters.items()))
@@ -77,14 +83,20 @@
 
 
 async def caller_grant(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Let a caller reach adapters."""
+    """Allow a caller to use adapters."""
     caller = await base_entry(session, "callers", args.name)
     adapters = sorted({*caller.get("adapters", []), *args.adapters})
     return await patch_base(session, args, "callers", args.name, {"adapters": adapters})
 
 
 async def caller_revoke(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Take adapters away from a caller."""
+    """Withdraw a caller's permission to use adapters.
+
+    Raises
+    ------
+    CommandFailed
+        When the caller may use every adapter ("*") and only some are to be revoked.
+    """
     caller = await base_entry(session, "callers", args.name)
     granted = caller.get("adapters", [])
     if ALL in granted and ALL not in args.adapters:
@@ -95,7 +107,7 @@
 
 
 async def upstream_list(session: OperatorSession, args: argparse.Namespace) -> int:
-    """List upstreams that announce themselves, with their owners."""
+    """List the upstreams that announce themselves, and the gateways that own engines."""
     status = await session.status()
     owners = {one.engine: one for one in status.owners}
     rows = (
@@ -112,5 +124,5 @@
 
 
 async def upstream_drain(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Send an upstream no new work, or (`--undo`) send it work again."""
+    """Drain an upstream: it gets no new requests until `--undo`."""
     return await patch_base(session, args, "upstreams", args.name, {"drain": not args.undo})
--- a/chestnutfall/operators/host_commands.py
+++ b/chestnutfall/operators/host_commands.py
@@ -1,4 +1,4 @@
-"""`chestnutfallctl status|host ...`"""
+"""`chestnutfallctl status|host ...`: the state of the deployment and its hosts."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from .operator_session import OperatorSession
 from .output import show
 
-IDENTIFY_MS = 2000
+IDENTIFY_TIMEOUT_MS = 2000
 
 
 async def status(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Show the office at a glance."""
+    """Print a summary of the deployment's state."""
     view = await session.status()
     rows = [
         ("leader", view.leader),
@@ -37,7 +37,7 @@
 
 
 async def host_list(session: OperatorSession, args: argparse.Namespace) -> int:
-    """List controllers and gateways."""
+    """List controllers and live gateways."""
     view = await session.status()
     rows = [
         (m.replica_id, "voter" if m.voter else "learner", m.address, m.match_index, m.heard_ms_ago)
@@ -53,10 +53,15 @@
 
 
 async def host_identify(address: str, tls: TlsFiles | None) -> int:
-    """Print the identity of the controller at an address."""
+    """Print the replica id of the controller at an address.
+
+    The controller is asked directly, since a new one is not yet a member and no leader knows its
+    id. Any message for another replica makes it answer with its own id; this one is addressed to
+    the empty id.
+    """
     transport = RpcTransport(tls)
     msg = TakeOver("", "", 0)
-    reply = await transport.call(Member("", address), msg, IDENTIFY_MS)
+    reply = await transport.call(Member("", address), msg, IDENTIFY_TIMEOUT_MS)
     await transport.close()
     if isinstance(reply, WrongReplica):
         print(reply.replica_id)
@@ -64,7 +69,7 @@
 
 
 async def host_change(session: OperatorSession, args: argparse.Namespace) -> int:
-    """Add a controller as learner, promote it, or remove one."""
+    """Add a controller as learner, promote a learner to voter, or remove a controller."""
     await session.member(args.action, args.replica_id, getattr(args, "address", "") or "")
     print(f"{args.action} of {args.replica_id} is in the log")
     return ExitCode.OK
--- a/chestnutfall/operators/output.py
+++ b/chestnutfall/operators/output.py
@@ -1,4 +1,4 @@
-"""Tables for people, JSON for scripts."""
+"""Output of commands: tables for people, JSON for scripts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,15 @@
 
 
 def show(as_json: bool, value: Any, columns: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
-    """Print `value` as JSON, or `rows` as a table."""
+    """Print the result of a command.
+
+    Parameters
+    ----------
+    as_json : bool
+        Print `value` as JSON instead of `rows` as a table.
+    rows : iterable of sequence
+        The cells of each row, one for each of `columns`.
+    """
     if as_json:
         print(json.dumps(msgspec.to_builtins(value), indent=2, sort_keys=True))
         return
