--- a/chestnutfall/coordination/controller_runner.py
+++ b/chestnutfall/coordination/controller_runner.py
@@ -19,7 +19,7 @@
 from ..control.control_state import ControlState
 from ..control.rpc_transport import METHOD as CONSENSUS_METHOD
 from ..control.rpc_transport import RpcTransport
-from ..observability.histograms import Histograms
+from ..observability.prometheus_metrics import PrometheusMetrics
 from ..routes import DocumentCodec
 from ..settings.fleet_settings import FleetSettings
 from ..wire import RpcServer
@@ -79,7 +79,7 @@
         codec: DocumentCodec,
         engines: EngineControl,
         clock: Clock,
-        metrics: Histograms,
+        metrics: PrometheusMetrics,
     ) -> None:
         self._settings = settings
         self._codec = codec
--- a/chestnutfall/forwarding/final_answers.py
+++ b/chestnutfall/forwarding/final_answers.py
@@ -5,7 +5,7 @@
 import logging
 
 from ..clock import Clock
-from ..observability.histograms import Histograms
+from ..observability.prometheus_metrics import PrometheusMetrics
 from ..requests import Executed
 from .call import Call
 from .caller_reply import CallerReply
@@ -17,7 +17,7 @@
 class FinalAnswers:
     """Ends calls that get no answer from an upstream, and logs the reason."""
 
-    def __init__(self, clock: Clock, metrics: Histograms) -> None:
+    def __init__(self, clock: Clock, metrics: PrometheusMetrics) -> None:
         self._clock = clock
         self._metrics = metrics
 
--- a/chestnutfall/forwarding/forwarder.py
+++ b/chestnutfall/forwarding/forwarder.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from ..clock import Clock
-from ..observability.histograms import Histograms
+from ..observability.prometheus_metrics import PrometheusMetrics
 from ..placement import RunOutcome
 from ..placement.run_times import NO_TIMES
 from ..quarantine import RequestQuarantine
@@ -54,7 +54,7 @@
         signals: KnownSignals,
         quarantine: RequestQuarantine,
         clock: Clock,
-        metrics: Histograms,
+        metrics: PrometheusMetrics,
         rng: random.Random,
     ) -> None:
         self._routes = routes
--- a/chestnutfall/forwarding/organisation_counts.py
+++ b/chestnutfall/forwarding/organisation_counts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..observability.histograms import Histograms
+from ..observability.prometheus_metrics import PrometheusMetrics
 from .admission import Admitted, NotAdmitted
 
 MAX_ORGANISATIONS = 64
@@ -18,7 +18,7 @@
     set.
     """
 
-    def __init__(self, metrics: Histograms) -> None:
+    def __init__(self, metrics: PrometheusMetrics) -> None:
         self._metrics = metrics
         self._counted: set[str] = set()
 
--- a/chestnutfall/forwarding/result_handler.py
+++ b/chestnutfall/forwarding/result_handler.py
@@ -5,7 +5,7 @@
 from typing import assert_never
 
 from ..clock import Clock
-from ..observability.histograms import Histograms
+from ..observability.prometheus_metrics import PrometheusMetrics
 from ..quarantine import RequestQuarantine
 from ..requests import NOT_RUN_STATUSES
 from ..routes import Route
@@ -38,7 +38,7 @@
         quarantine: RequestQuarantine,
         answers: FinalAnswers,
         clock: Clock,
-        metrics: Histograms,
+        metrics: PrometheusMetrics,
     ) -> None:
         self._repeats = repeats
         self._signals = signals
--- a/chestnutfall/forwarding/sender.py
+++ b/chestnutfall/forwarding/sender.py
@@ -5,7 +5,7 @@
 import statistics
 
 from ..clock import Clock
-from ..observability.histograms import Histograms
+from ..observability.prometheus_metrics import PrometheusMetrics
 from ..placement import RunOutcome
 from ..placement.run_times import NO_TIMES, RunTimes
 from ..routes import Route
@@ -37,7 +37,7 @@
     """Sends a call, relays the answer to the client, and releases the place with the outcome."""
 
     def __init__(
-        self, api: UpstreamApi, signals: KnownSignals, clock: Clock, metrics: Histograms
+        self, api: UpstreamApi, signals: KnownSignals, clock: Clock, metrics: PrometheusMetrics
     ) -> None:
         self._api = api
         self._signals = signals
--- a/chestnutfall/observability/__init__.py
+++ b/chestnutfall/observability/__init__.py
@@ -1,5 +1,5 @@
 """Logs, metrics and traces.
 
-Nothing is re-exported: each output needs a library of its own, and a program that uses one of them
-must start without the libraries of the others.
+This package re-exports nothing: each kind of output needs a different library, and a program that
+uses one kind must start without the libraries of the others.
 """
--- a/chestnutfall/observability/json_logs.py
+++ b/chestnutfall/observability/json_logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines."""
+"""Logging of JSON lines."""
 
 from __future__ import annotations
 
@@ -9,7 +9,19 @@
 
 
 def start_logs(level: str, program: str, name: str, handler: logging.Handler | None = None) -> None:
-    """Send every log record as one JSON line to `handler`, or to standard error without one."""
+    """Send every log record as one JSON line to a handler.
+
+    Replaces the handlers of the root logger, and silences aiohttp's log line for each request.
+
+    Parameters
+    ----------
+    level : str
+        Lowest level that is logged.
+    program, name : str
+        Added to each line as `program` and `host`.
+    handler : logging.Handler, optional
+        Standard error by default.
+    """
     handler = handler or logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         JsonFormatter(
--- a/chestnutfall/observability/metrics.py
+++ b/chestnutfall/observability/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and timings for statsd."""
+"""Counters, timings and gauges for statsd."""
 
 from __future__ import annotations
 
@@ -10,10 +10,22 @@
 
 
 class Metrics:
-    """Counts in memory, and to statsd if an address is set.
-
-    Datagrams are sent without waiting and a missing daemon goes unnoticed, so that metrics can
-    neither slow nor break a request.
+    """Keeps counters in memory, and sends every metric to statsd if it has an address.
+
+    Datagrams are sent without waiting and errors are ignored, so that a slow or missing daemon
+    can neither delay nor fail a request.
+
+    Parameters
+    ----------
+    address : str or None
+        `IP:PORT` of the statsd daemon.
+    program : str
+        Part of the prefix of every metric name.
+
+    Attributes
+    ----------
+    counts : Counter of str
+        All counters, also without a daemon.
     """
 
     def __init__(self, address: str | None, program: str) -> None:
@@ -24,17 +36,17 @@
             self._client = statsd.StatsClient(ip, port, prefix=f"chestnutfall.{program}")
 
     def count(self, name: str, by: int = 1) -> None:
-        """Add to a counter."""
+        """Add `by` to a counter."""
         self.counts[name] += by
         if self._client is not None:
             self._client.incr(name, by)
 
     def timing(self, name: str, ms: float) -> None:
-        """Report a duration."""
+        """Send a duration; it is not kept in memory."""
         if self._client is not None:
             self._client.timing(name, ms)
 
     def gauge(self, name: str, value: float) -> None:
-        """Report a level."""
+        """Send the value of a gauge; it is not kept in memory."""
         if self._client is not None:
             self._client.gauge(name, value)
--- a/chestnutfall/observability/histograms.py
+++ b/chestnutfall/observability/prometheus_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms in memory, served as text."""
+"""Counters, gauges and latency histograms in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -7,11 +7,14 @@
 from collections.abc import Iterator
 
 BOUNDS_MS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000)
-"""Upper bounds of the buckets, ms; half-decade steps from a local call to a long request."""
+"""Upper bounds of the histogram buckets, from a local call to a long request."""
 
 
-class Histograms:
-    """Counts by name, and durations by name in fixed buckets."""
+class PrometheusMetrics:
+    """Keeps counters, gauges and latency histograms in memory until they are scraped.
+
+    Each metric is created by its first use.
+    """
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
@@ -20,25 +23,25 @@
         self._sums: Counter[str] = Counter()
 
     def count(self, name: str, by: int = 1) -> None:
-        """Add to a counter."""
+        """Add `by` to a counter."""
         self._counts[name] += by
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a level."""
+        """Set a gauge."""
         self._gauges[name] = value
 
     def total(self, name: str, value: int) -> None:
-        """Set a counter that is kept elsewhere."""
+        """Set a counter to a total that the caller counts itself."""
         self._counts[name] = value
 
     def observe(self, name: str, ms: float) -> None:
-        """Take in a duration."""
+        """Add a duration to a histogram; its sum counts whole milliseconds only."""
         buckets = self._buckets.setdefault(name, [0] * (len(BOUNDS_MS) + 1))
         buckets[bisect_left(BOUNDS_MS, ms)] += 1
         self._sums[name] += int(ms)
 
     def text(self) -> str:
-        """All of it in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format, sorted by name."""
         return "\n".join(self._lines()) + "\n"
 
     def _lines(self) -> Iterator[str]:
--- a/chestnutfall/observability/stdout_logs.py
+++ b/chestnutfall/observability/stdout_logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard output that never block the process."""
+"""Logging to standard output without blocking."""
 
 from __future__ import annotations
 
@@ -7,20 +7,22 @@
 import sys
 
 from ..clock import Clock
-from .histograms import Histograms
+from .prometheus_metrics import PrometheusMetrics
 
-LINES_PER_S = 400
-"""A gateway at its peak serves under 100 calls a second with two or three lines each."""
+MAX_LINES_PER_S = 400
+"""At its peak a gateway serves under 100 calls a second and logs two or three lines for each."""
 
 
 class StdoutHandler(logging.Handler):
-    """Writes one JSON line for each record; drops and counts what can't be written at once.
+    """Writes log records to standard output; drops lines that can't be written at once.
 
-    A reader that stops reading fills the pipe. A blocking write would then stop the whole event
-    loop, and with it every request, so the descriptor does not block and the line is dropped.
+    A reader of standard output that stops reading fills the pipe. A blocking write would then
+    stop the event loop and so every request. Therefore the descriptor is set to non-blocking,
+    and a line that does not fit is dropped and counted as `log_lines_dropped`. Lines lost to
+    other errors are counted as `log_write_errors`.
     """
 
-    def __init__(self, clock: Clock, metrics: Histograms) -> None:
+    def __init__(self, clock: Clock, metrics: PrometheusMetrics) -> None:
         super().__init__()
         self._clock = clock
         self._metrics = metrics
@@ -34,8 +36,9 @@
         if second != self._second:
             self._second, self._lines = second, 0
         self._lines += 1
-        # Warnings tell of lost dependencies and are few; only the flood of calls is bounded.
-        if self._lines > LINES_PER_S and record.levelno < logging.WARNING:
+        # Warnings report lost dependencies and are rare. Only the lines logged for each call can
+        # become too many.
+        if self._lines > MAX_LINES_PER_S and record.levelno < logging.WARNING:
             self._metrics.count("log_lines_dropped")
             return
         try:
--- a/chestnutfall/observability/tracing.py
+++ b/chestnutfall/observability/tracing.py
@@ -1,4 +1,4 @@
-"""OpenTelemetry spans for each hop of a request."""
+"""Export of OpenTelemetry spans to a file."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class _FileExporter(SpanExporter):
-    """Appends one JSON line for each span."""
+    """Appends one JSON line for each finished span to a file."""
 
     def __init__(self, path: str) -> None:
         self._path = path
@@ -21,13 +21,13 @@
         try:
             with open(self._path, "a", encoding="utf-8") as file:
                 for span in spans:
-                    file.write(json.dumps(_line(span)) + "\n")
+                    file.write(json.dumps(_span_fields(span)) + "\n")
         except OSError:
             return SpanExportResult.FAILURE
         return SpanExportResult.SUCCESS
 
 
-def _line(span: ReadableSpan) -> dict[str, object]:
+def _span_fields(span: ReadableSpan) -> dict[str, object]:
     ctx = span.get_span_context()
     assert ctx is not None
     parent = span.parent
@@ -44,10 +44,17 @@
 
 
 def start_tracing(trace_file: str | None, program: str, name: str) -> trace.Tracer:
-    """Return the tracer; without a file its spans are made and dropped.
+    """Return the tracer of a program.
 
-    Spans are exported by a thread of the library from a bounded queue; when the file can't be
-    written they are lost and no request notices.
+    A thread of OpenTelemetry writes the spans from a bounded queue. If the file can't be written,
+    spans are lost and requests go on.
+
+    Parameters
+    ----------
+    trace_file : str or None
+        File that spans are appended to. Without one, spans are created and dropped.
+    program, name : str
+        Program and host that the spans are attributed to.
     """
     if trace_file is None:
         return trace.get_tracer("chestnutfall")
--- a/chestnutfall/platform/controller.py
+++ b/chestnutfall/platform/controller.py
@@ -8,8 +8,8 @@
 
 from ..clock import SystemClock
 from ..coordination.controller_runner import ControllerRunner
-from ..observability.histograms import Histograms
 from ..observability.json_logs import start_logs
+from ..observability.prometheus_metrics import PrometheusMetrics
 from ..observability.stdout_logs import StdoutHandler
 from ..programs.event_loop import run
 from ..settings.fleet_settings import FleetSettings
@@ -31,7 +31,7 @@
 
 async def _serve(settings: FleetSettings, stop: asyncio.Event) -> int:
     clock = SystemClock()
-    metrics = Histograms()
+    metrics = PrometheusMetrics()
     start_logs("INFO", "controller", settings.name, StdoutHandler(clock, metrics))
     codec = DocumentJson()
     engines = EngineHttp(settings.name)
--- a/chestnutfall/platform/gateway.py
+++ b/chestnutfall/platform/gateway.py
@@ -22,8 +22,8 @@
 from ..forwarding.repeats import Repeats
 from ..forwarding.sender import Sender
 from ..limits.known_limits import KnownLimits
-from ..observability.histograms import Histograms
 from ..observability.json_logs import start_logs
+from ..observability.prometheus_metrics import PrometheusMetrics
 from ..observability.stdout_logs import StdoutHandler
 from ..programs.event_loop import run
 from ..quarantine import RequestQuarantine, refuses_connections
@@ -52,7 +52,7 @@
 
 async def _serve(settings: FleetSettings, stop: asyncio.Event) -> int:
     clock = SystemClock()
-    metrics = Histograms()
+    metrics = PrometheusMetrics()
     start_logs("INFO", "gateway", settings.name, StdoutHandler(clock, metrics))
     name = f"{settings.name}#{uuid.uuid4().hex[:6]}"
     known = FleetKnowledge(DocumentJson(), clock)
--- a/chestnutfall/platform/metrics_server.py
+++ b/chestnutfall/platform/metrics_server.py
@@ -6,12 +6,12 @@
 
 from aiohttp import web
 
-from ..observability.histograms import Histograms
+from ..observability.prometheus_metrics import PrometheusMetrics
 from .listening import listen
 
 
 async def serve_metrics(
-    metrics: Histograms, address: str, refresh: Callable[[], None]
+    metrics: PrometheusMetrics, address: str, refresh: Callable[[], None]
 ) -> web.ServerRunner:
     """Serve `metrics` as text on `address`, at any path.
 
--- a/chestnutfall/tests/fakes/forwarder_case.py
+++ b/chestnutfall/tests/fakes/forwarder_case.py
@@ -16,7 +16,7 @@
 from ...forwarding.forwarder import Forwarder
 from ...forwarding.repeats import Repeats
 from ...forwarding.sender import Sender
-from ...observability.histograms import Histograms
+from ...observability.prometheus_metrics import PrometheusMetrics
 from ...quarantine import RequestQuarantine
 from ...quota.quota_enforcer import QuotaEnforcer
 from ...routes import (
@@ -114,7 +114,7 @@
         self.selector.held_back_for_ms = self.held_back_for_ms
         self.selector.on_select = self.on_selected
         self.selector.on_release = self.on_released
-        metrics = Histograms()
+        metrics = PrometheusMetrics()
         self.signals = known_signals(self.clock)
         self.repeats = Repeats(
             RepeatBounds(0.2, slack, 10_000), lambda: 1, self._borrow, self.clock, self.rng
--- a/chestnutfall/tests/fakes/signal_office.py
+++ b/chestnutfall/tests/fakes/signal_office.py
@@ -18,7 +18,7 @@
 from ...forwarding.sender import Sender
 from ...forwarding.upstream_answer import NotRun, UpstreamAnswer
 from ...forwarding.upstream_api import AnswerLost, NotSent, UpstreamApi
-from ...observability.histograms import Histograms
+from ...observability.prometheus_metrics import PrometheusMetrics
 from ...placement import AdapterName, LoadAdapter, Order, UnloadAdapter
 from ...quarantine import RequestQuarantine
 from ...quota.quota_enforcer import QuotaEnforcer
@@ -161,7 +161,7 @@
         All calls that have their final answer.
     adapters : list of str
         Adapters that calls to engines name, at random.
-    metrics : Histograms
+    metrics : PrometheusMetrics
         Counters of all gateways together.
     """
 
@@ -175,7 +175,7 @@
     ) -> None:
         self.finished: list[FinishedCall] = []
         self.adapters = [f"a{at}" for at in range(ADAPTERS)]
-        self.metrics = Histograms()
+        self.metrics = PrometheusMetrics()
         self.apis: dict[str, SignallingApi] = {}
         self._forwarders: dict[str, Forwarder] = {}
         self._bounds = repeats
--- a/chestnutfall/tests/test_organisations.py
+++ b/chestnutfall/tests/test_organisations.py
@@ -29,7 +29,7 @@
 from ..forwarding.repeats import Repeats
 from ..forwarding.sender import Sender
 from ..forwarding.upstream_answer import NotRun
-from ..observability.histograms import Histograms
+from ..observability.prometheus_metrics import PrometheusMetrics
 from ..platform.call_reader import read_call
 from ..platform.document_json import DocumentJson
 from ..platform.upstream_http import _headers
@@ -154,7 +154,7 @@
         self.quotas = QuotaEnforcer(
             self.quota_client, lambda: 1, STRICT_QUOTA_BOUNDS, self.clock, random.Random(1)
         )
-        self.metrics = Histograms()
+        self.metrics = PrometheusMetrics()
         self.written = io.StringIO()
         handler = logging.StreamHandler(self.written)
         logger = logging.getLogger("chestnutfall")
