--- a/chestnutfall/load/__init__.py
+++ b/chestnutfall/load/__init__.py
@@ -1,4 +1,4 @@
-"""An open-loop load tool."""
+"""Load generator that sends requests at a set rate (open loop)."""
 
 from __future__ import annotations
 
--- a/chestnutfall/load/arrival.py
+++ b/chestnutfall/load/arrival.py
@@ -1,4 +1,4 @@
-"""One planned request."""
+"""A request of a load plan."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """When a request is due, and what it asks for.
+    """One planned request: when it is due and what it asks for.
 
     Attributes
     ----------
     at_ms : float
-        Due time since the start.
+        When the request is due, after the start of the load.
     adapter : int
-        Number of the adapter.
+        Number of the adapter, from 0.
     priority : str
-        Priority class.
+        Priority class: `urgent`, `normal` or `overnight`.
     cancel_ms : float or None
-        The caller leaves this long after its start.
+        Time after which the caller closes the connection; None for a caller that waits for the
+        whole answer.
     """
 
     at_ms: float
--- a/chestnutfall/load/load_client.py
+++ b/chestnutfall/load/load_client.py
@@ -1,4 +1,4 @@
-"""Sends planned requests to gateways."""
+"""Client that sends planned requests to gateways."""
 
 from __future__ import annotations
 
@@ -12,11 +12,26 @@
 from .arrival import Arrival
 from .load_report import LoadReport
 
-DONE = b"data: [DONE]"
+END_OF_STREAM = b"data: [DONE]"
 
 
 class LoadClient:
-    """One caller that streams from several gateways in turn."""
+    """Sends streamed completions to several gateways in turn, with the key of one caller.
+
+    Parameters
+    ----------
+    urls : sequence of str
+        Base URLs of the gateways, with `/v1`.
+    model : str
+        Model to ask for; `{}` is replaced by the number of the adapter.
+    tokens : int
+        Most tokens of each answer.
+
+    Attributes
+    ----------
+    report : LoadReport
+        Outcomes and latencies so far.
+    """
 
     def __init__(self, urls: Sequence[str], key: str, model: str, tokens: int) -> None:
         self._urls = urls
@@ -26,48 +41,48 @@
         self.report = LoadReport()
 
     async def run(self, arrivals: Iterable[Arrival]) -> LoadReport:
-        """Send every request when it is due, and wait for all answers."""
+        """Send every request when it is due, and return the report once all have ended."""
         started = time.monotonic()
         tasks = []
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector, trust_env=False) as session:
             for number, arrival in enumerate(arrivals):
-                due = started + arrival.at_ms / 1000
-                await asyncio.sleep(max(due - time.monotonic(), 0))
+                due_s = started + arrival.at_ms / 1000
+                await asyncio.sleep(max(due_s - time.monotonic(), 0))
                 url = self._urls[number % len(self._urls)]
-                tasks.append(asyncio.ensure_future(self._one(session, url, arrival, due)))
+                tasks.append(asyncio.ensure_future(self._send(session, url, arrival, due_s)))
             await asyncio.gather(*tasks)
         return self.report
 
-    async def _one(
-        self, session: aiohttp.ClientSession, url: str, arrival: Arrival, due: float
+    async def _send(
+        self, session: aiohttp.ClientSession, url: str, arrival: Arrival, due_s: float
     ) -> None:
-        limit_s = None if arrival.cancel_ms is None else arrival.cancel_ms / 1000
+        cancel_s = None if arrival.cancel_ms is None else arrival.cancel_ms / 1000
         try:
-            async with asyncio.timeout(limit_s):
-                await self._stream(session, url, arrival, due)
+            async with asyncio.timeout(cancel_s):
+                await self._stream(session, url, arrival, due_s)
         except TimeoutError:
-            self.report.ended("cancelled")
+            self.report.record_failure("cancelled")
         except (aiohttp.ClientError, OSError):
-            self.report.ended("broken")
+            self.report.record_failure("broken")
 
     async def _stream(
-        self, session: aiohttp.ClientSession, url: str, arrival: Arrival, due: float
+        self, session: aiohttp.ClientSession, url: str, arrival: Arrival, due_s: float
     ) -> None:
         model = self._model.replace("{}", str(arrival.adapter))
         body = {"model": model, "stream": True, "max_tokens": self._tokens, "prompt": "x"}
         headers = self._headers | {"X-Priority": arrival.priority}
         first = None
-        whole = False
+        is_complete = False
         async with session.post(f"{url}/completions", json=body, headers=headers) as resp:
             if resp.status != 200:
-                self.report.ended(json.loads(await resp.read())["error"]["code"])
+                self.report.record_failure(json.loads(await resp.read())["error"]["code"])
                 return
             async for line in resp.content:
                 first = first or time.monotonic()
-                whole = whole or line.startswith(DONE)
-        if first is None or not whole:
-            self.report.ended("broken")
+                is_complete = is_complete or line.startswith(END_OF_STREAM)
+        if first is None or not is_complete:
+            self.report.record_failure("broken")
             return
         ended = time.monotonic()
-        self.report.answered(arrival.priority, (first - due) * 1000, (ended - due) * 1000)
+        self.report.record_answer(arrival.priority, (first - due_s) * 1000, (ended - due_s) * 1000)
