--- a/chestnutfall/tests/__main__.py
+++ b/chestnutfall/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Runs every test and ends with a line that counts them."""
+"""Runs the tests and ends with a line that counts those that passed and failed."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import sys
 from pathlib import Path
 
+# The hosts forbid io_uring; libuv opens a ring unless this is set before a loop is created.
 os.environ["UV_USE_IO_URING"] = "0"
 
 import nose2
@@ -19,6 +20,7 @@
 
 
 def _known_red() -> dict[str, str]:
+    """Return the lines of KNOWN-RED.txt by the test that each names before its first colon."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text("utf-8").splitlines() if line.strip()]
@@ -28,13 +30,19 @@
 
 
 def main() -> int:
-    """Run the tests; 0 if only known failures failed."""
+    """Run the tests named on the command line, or all.
+
+    Returns
+    -------
+    int
+        Exit code: 0 if some tests passed and every failure is listed in KNOWN-RED.txt, else 1.
+    """
     settings.register_profile("ci", derandomize=True, database=None, deadline=None)
     settings.load_profile("ci")
     plugin = OutcomeCounter.__module__
-    chosen = sys.argv[1:]
+    named_tests = sys.argv[1:]
     argv = ["nose2", "--plugin", plugin, "-s", str(ROOT), "-t", str(ROOT)]
-    argv += chosen or ["chestnutfall.tests", "properties"]
+    argv += named_tests or ["chestnutfall.tests", "properties"]
     nose2.discover(argv=argv, exit=False)
     known = _known_red()
     unexpected = OutcomeCounter.failed - set(known)
--- a/chestnutfall/tests/outcome_counter.py
+++ b/chestnutfall/tests/outcome_counter.py
@@ -1,4 +1,4 @@
-"""A nose2 plugin that counts outcomes and knows which failures are expected."""
+"""A nose2 plugin that records which tests passed and which failed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 class OutcomeCounter(Plugin):
-    """Collects the names of tests that passed and failed."""
+    """Collects the names of tests that passed and failed.
+
+    The sets belong to the class, since nose2 creates the plugin itself. A test whose sub-tests
+    have different outcomes can be in both.
+    """
 
     configSection = "outcome-counter"
     alwaysOn = True
@@ -16,7 +20,7 @@
     failed: ClassVar[set[str]] = set()
 
     def testOutcome(self, event: Any) -> None:
-        """Note one outcome; a test with a failing sub-test has failed."""
+        """Record the outcome of a test; that of a sub-test counts for its test."""
         name = getattr(event.test, "test_case", event.test).id()
         if event.outcome == "passed":
             self.passed.add(name)
--- a/chestnutfall/tests/test_configuration_in_force.py
+++ b/chestnutfall/tests/test_configuration_in_force.py
@@ -1,7 +1,7 @@
 """An accepted configuration is in force everywhere within seconds and is never reverted.
 
-Otherwise an auditor reads that a grant is revoked while a gateway still honours it. Gateways are
-cut off, restart, or get an answer from a controller that lags behind.
+Guards against a gateway that still honours a grant which the audit log shows as revoked. That can
+happen when a gateway is cut off, restarts, loses answers, or gets one from a controller that lags.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
             self.assertEqual(gateway.agent.revision, 2)
             self.assertFalse(gateway.agent.config.callers["ana"].may_use_adapter("a2"))
 
-    async def test_of_two_racing_changes_one_wins_and_the_other_is_told_by_whom(self) -> None:
+    async def test_losing_one_of_two_concurrent_changes_gets_the_winners_operator(self) -> None:
         await self.office.control.change(_grant("a1"), 1)
-        beaten = await self.office.control.change(_grant("a2"), 1)
-        self.assertIsInstance(beaten, Conflict)
-        self.assertEqual((beaten.revision, beaten.operator), (2, "admin"))
+        loser = await self.office.control.change(_grant("a2"), 1)
+        self.assertIsInstance(loser, Conflict)
+        self.assertEqual((loser.revision, loser.operator), (2, "admin"))
 
-    async def test_nothing_is_half_accepted(self) -> None:
+    async def test_change_with_any_invalid_part_is_refused_whole(self) -> None:
         bad = {
             BASE_LAYER: {
                 "adapters": {"new": {"service": "redactor-ia", "versions": {"1": "short"}}},
@@ -52,24 +52,24 @@
         refused = await self.office.control.change(bad)
         self.assertIsInstance(refused, Refused)
         text = "\n".join(refused.reasons)
-        for place in ("/adapters/new", "/callers/ana/adapters", "site:elsewhere"):
-            self.assertIn(place, text)
+        for path in ("/adapters/new", "/callers/ana/adapters", "site:elsewhere"):
+            self.assertIn(path, text)
         self.assertEqual(self.office.control.state.revision, 1)
 
-    async def test_what_others_refer_to_can_not_go(self) -> None:
-        # The change touches one entry and breaks another one, which refers to it.
+    async def test_change_that_breaks_a_reference_is_refused(self) -> None:
+        # Each change removes or alters one entry and would break another that it does not name.
         await self.office.control.change(_grant("a1"))
         cases = {
             "/callers/ana/adapters": {"adapters": {"a1": None}},
             "/adapters/a2/service": {"services": {"redactor-ia": {"kind": "plain", "path": "/x"}}},
             "/adapters/a3/service": {"services": {"redactor-ia": None}},
         }
-        for place, patch in cases.items():
+        for path, patch in cases.items():
             for layer in (BASE_LAYER, f"site:{SITE}"):
-                with self.subTest(place=place, layer=layer):
+                with self.subTest(path=path, layer=layer):
                     refused = await self.office.control.change({layer: patch})
                     self.assertIsInstance(refused, Refused)
-                    self.assertIn(place, "\n".join(refused.reasons))
+                    self.assertIn(path, "\n".join(refused.reasons))
 
     async def test_too_large_a_change_is_refused_with_the_bound(self) -> None:
         names = {f"callers-{number}": None for number in range(4001)}
@@ -84,8 +84,8 @@
         self.assertIn("can't change", refused.reasons[0])
 
     async def test_gateway_that_is_cut_off_refuses_when_its_lease_is_over(self) -> None:
-        # A grant may be revoked while the gateway is cut off, but an election must not interrupt
-        # service.
+        # A grant may have been revoked since, so the gateway refuses requests. It must still serve
+        # for longer than an election takes, when no controller answers either.
         gateway = self.office.gateway(0)
         gateway.client.cut = True
         await self.office.clock.advance(2500)
@@ -117,7 +117,7 @@
         self.assertEqual(agent.revision, 2)
         self.assertFalse(agent.config.callers["ana"].may_use_adapter("a2"))
 
-    async def test_wrong_content_is_found_by_its_digest_and_fetched_anew(self) -> None:
+    async def test_wrong_content_is_detected_by_its_digest_and_fetched_again(self) -> None:
         agent = self.office.gateway(0).agent
         layers = {BASE_LAYER: {"callers": {"ana": {"adapters": []}}}}
         agent._merged.update(type(agent._layers)(layers), [("callers", "ana")])
--- a/chestnutfall/tests/test_sweep_table.py
+++ b/chestnutfall/tests/test_sweep_table.py
@@ -1,4 +1,7 @@
-"""Reading the table of a sweep, from which the figures of the capacity page are drawn."""
+"""Tables of sweeps are read from journal entries, and drawn to the same file each time.
+
+A sweep measures the load of each role at several numbers of hosts.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def _entry(self, **changed: object) -> Path:
+    def _write_entry(self, **changed: object) -> Path:
         path = self.folder / "entry.json"
         entry = {"cmd": "sweep", "digest": DIGEST, "site": "a-site", "head": "0123456789"}
         path.write_text(json.dumps(entry | changed), "utf-8")
@@ -37,13 +40,13 @@
         second = SweepRow("config acked, ms", hosts, (22.0, 25.0, 42.0), (105.0, 85.0, 163.0))
         self.assertEqual(list(rows_of(DIGEST)), [first, second])
 
-    def test_entries_without_a_table_say_so(self) -> None:
+    def test_entries_without_a_table_are_rejected(self) -> None:
         for changed in ({"cmd": "hunt"}, {"digest": None}, {"digest": "nothing"}):
             with self.subTest(changed), self.assertRaises(ValueError):
-                read_table(self._entry(**changed))
+                read_table(self._write_entry(**changed))
 
     def test_the_same_entry_is_drawn_to_the_same_file(self) -> None:
-        table = read_table(self._entry())
+        table = read_table(self._write_entry())
         self.assertEqual((table.site, table.commit), ("a-site", "0123456"))
         drawn = [draw(table, self.folder).read_bytes() for _ in range(2)]
         self.assertEqual(drawn[0], drawn[1])
