--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; speeds are given as slopes and as ratios within one run."""
+"""Benchmarks; costs are given as slopes over sizes, or as ratios within one run."""
--- a/benchmarks/acceptance.py
+++ b/benchmarks/acceptance.py
@@ -1,7 +1,7 @@
-"""How long the leader needs to judge one change.
+"""How long the leader needs to validate one change of the configuration.
 
-`python -m benchmarks.acceptance` adds a version to one adapter of an office with 4 sites. The
-leader's loop stands still meanwhile, so this must stay far below its lease of 540 ms.
+`python -m benchmarks.acceptance` adds a version to one adapter of a deployment with 4 sites. The
+leader's event loop is blocked meanwhile, so this must stay far below the leader's lease of 540 ms.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 from .slopes import _state
 
 SITES = 4
-SIZES = (3_000, 10_000, 30_000)
-TIMES = 5
+ADAPTER_COUNTS = (3_000, 10_000, 30_000)
+REPETITIONS = 5
 
 
-def _judge_ms(adapters: int) -> float:
+def _validation_ms(adapters: int) -> float:
     state = _state(adapters, SITES)
     replica: Any = SimpleNamespace()
     desk = OperatorService(replica, state, replica, SystemClock(), "")
     version = {"versions": {"9": "sha256:" + "ab" * 32}}
     patches = {BASE_LAYER: {"adapters": {"oficina-0-tarea-0": version}}}
     started = time.perf_counter()
-    for _ in range(TIMES):
+    for _ in range(REPETITIONS):
         assert not list(desk._validation_errors(patches))
-    return (time.perf_counter() - started) * 1000 / TIMES
+    return (time.perf_counter() - started) * 1000 / REPETITIONS
 
 
 def main() -> None:
-    """Print one table."""
+    """Print the slope over the number of adapters as one Markdown table."""
     print("| what | slope | fixed | residual | points |\n|---|---|---|---|---|")
-    points = [(size, _judge_ms(size)) for size in SIZES]
+    points = [(size, _validation_ms(size)) for size in ADAPTER_COUNTS]
     print(fit(f"judging a change, {SITES} sites", "ms an adapter", points).row())
 
 
--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,6 +1,6 @@
-"""Processor time of admitting a request: its key, its organisation, its quota.
+"""Processor time of admitting a request: hashing its key, finding the organisation, its quota.
 
-`python -m benchmarks.admission`: microseconds a request, by the number of organisations.
+`python -m benchmarks.admission` prints microseconds per request by the number of organisations.
 """
 
 from __future__ import annotations
@@ -29,38 +29,39 @@
 from chestnutfall.tests.fakes.fake_upstreams import ScriptedQuotaClient
 
 REQUESTS = 20_000
-SIZES = (1, 16, 10_000)
+ORGANISATION_COUNTS = (1, 16, 10_000)
 QUOTA = Quota(QuotaUnit.TOKENS, 1e9, 1e9, 200)
 BOUNDS = QuotaBounds(8_000, 0.1, 110_000)
 
 
-async def _us(organisations: int) -> float:
+async def _admission_us(organisations: int) -> float:
+    """Return microseconds of processor time per admitted request."""
     keys = [f"key-{number}" for number in range(organisations)]
-    holders = tuple(
+    tenants = tuple(
         Organisation(f"office-{number}", (key_digest(key),), None, QUOTA)
         for number, key in enumerate(keys)
     )
     targets = (WeightedService("s", 1),)
     route = Route("r", "a.example", "/a/", RouteKind.STREAM, 4000, 500, 1, targets, 1)
-    table = RouteTable(Document(1, (route,), (), DocumentLimits(), holders))
-    line, clock = ScriptedQuotaClient(), SystemClock()
-    admission = Admission(QuotaEnforcer(line, lambda: 81, BOUNDS, clock, random.Random(1)))
-    began = time.process_time()
+    table = RouteTable(Document(1, (route,), (), DocumentLimits(), tenants))
+    quota_client, clock = ScriptedQuotaClient(), SystemClock()
+    admission = Admission(QuotaEnforcer(quota_client, lambda: 81, BOUNDS, clock, random.Random(1)))
+    started_s = time.process_time()
     for number in range(REQUESTS):
         digest = key_digest(keys[number % organisations])
         call = Call(
             "id", "GET", "/a/", "/a/", "a.example", (), b"", 0, 9, tokens=712, key_digest=digest
         )
         await admission.charge(call, admission.holder(call, table, route), 10**15)
-        line.reported.clear()
-    return (time.process_time() - began) * 1e6 / REQUESTS
+        quota_client.reported.clear()
+    return (time.process_time() - started_s) * 1e6 / REQUESTS
 
 
 def main() -> None:
     """Print a line for each number of organisations."""
     print("organisations  us a request")
-    for organisations in SIZES:
-        print(f"{organisations:13d} {asyncio.run(_us(organisations)):13.1f}")
+    for organisations in ORGANISATION_COUNTS:
+        print(f"{organisations:13d} {asyncio.run(_admission_us(organisations)):13.1f}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/backoffs.py
+++ b/benchmarks/backoffs.py
@@ -1,14 +1,18 @@
-"""Ways in which a leader can know which engines want no requests of which gateway.
+"""Compares ways to share backoffs of upstreams between gateways and the leader.
 
-The pattern: three of nine engines, and one of three plain upstreams, turn all away for nine seconds
-and ask for three each time; the others have room. Nobody: gateways keep to it by themselves, and
-ask the leader for another place. Told: each gateway tells the leader, who places its calls
-elsewhere; to name them in each request comes to the same places. Hinted: the same, and others avoid
-what asked one gateway. Time is simulated; gateways, forwarder and leader are the real ones.
+Three of nine engines and one of three plain upstreams reject all requests for nine seconds, each
+time with a backoff of three seconds. The others have free capacity. Time is simulated; gateways,
+forwarder and leader run the real code. The strategies:
 
-Columns: gateways, way; part of the calls that are served; requests that were turned away for each
-call; places that could not be used; repeats that were not to be had; words to the leader a second;
-bytes a second if each request named them instead.
+- nobody: each gateway keeps its backoffs to itself, and asks the leader for another engine when the
+  one it was granted is backing off;
+- told: each gateway also reports its backoffs to the leader, which places its calls on other
+  engines (naming them in each request would give the same placement);
+- hinted: in addition, gateways avoid upstreams that asked another gateway for a backoff.
+
+Columns: gateways; strategy; fraction of the calls that are served; rejected requests per call;
+sends held back since the granted engine was backing off; repeats refused by the repeat budget;
+reports to the leader per second; bytes per second if each request named the engines instead.
 """
 
 from __future__ import annotations
@@ -29,20 +33,22 @@
 
 RATES = {ENGINES: 150.0, PLAIN: 50.0}
 REPEATS = RepeatBounds(0.2, 58, 10_000)
-BACKOFF = "3"
-BEFORE_MS, ASKED_MS, AFTER_MS = 2_000, 9_000, 3_000
+BACKOFF_S = "3"
+BEFORE_MS, REJECTING_MS, AFTER_MS = 2_000, 9_000, 3_000
 INSTANCE_BYTES = 27
-"""An instance's name with the start of its process, as it goes to the leader."""
+"""Name of an instance with the start time of its process, as sent to the leader."""
 
 
 @contextmanager
-def _nobody() -> Iterator[None]:
+def _reports_ignored() -> Iterator[None]:
+    """Make the leader ignore all reports."""
     with mock.patch.object(BackoffCoordinator, "record_backoff", lambda *args: None):
         yield
 
 
 @contextmanager
-def _told() -> Iterator[None]:
+def _reports_only() -> Iterator[None]:
+    """Disable hints about backoffs that other gateways were asked for."""
     with (
         mock.patch.object(UpstreamBackoff, "probably_rejects", lambda *args: False),
         mock.patch.object(KnownBackoffs, "probably_rejects", lambda *args: False),
@@ -51,44 +57,53 @@
 
 
 @contextmanager
-def _hinted() -> Iterator[None]:
+def _reports_and_hints() -> Iterator[None]:
+    """Leave the code as it is."""
     yield
 
 
-WAYS = {"nobody": _nobody, "told": _told, "hinted": _hinted}
+STRATEGIES = {"nobody": _reports_ignored, "told": _reports_only, "hinted": _reports_and_hints}
 
 
-async def play(gateways: int, way: str, seed: int) -> str:
-    """One line of the table."""
+async def simulate(gateways: int, strategy: str, seed: int) -> str:
+    """Simulate one strategy and return a row of the table."""
     office = SignalOffice(gateways, engines=9, plain=3, seed=seed, repeats=REPEATS)
-    words = 0
+    reports = 0
     hear = BackoffCoordinator.record_backoff
 
-    def counted(self: BackoffCoordinator, *args: object) -> None:
-        nonlocal words
-        words += 1
+    def counting(self: BackoffCoordinator, *args: object) -> None:
+        nonlocal reports
+        reports += 1
         hear(self, *args)  # type: ignore[arg-type]
 
-    with mock.patch.object(BackoffCoordinator, "record_backoff", counted), WAYS[way]():
+    with mock.patch.object(BackoffCoordinator, "record_backoff", counting), STRATEGIES[strategy]():
         await office.play(BEFORE_MS, RATES)
         from_ms = office.clock.now_ms()
-        resting = [f"{ENGINES}-{at}" for at in range(3)] + [f"{PLAIN}-0"]
-        for instance in resting:
-            office.upstreams[instance].backoff = BACKOFF
-        await office.play(ASKED_MS, RATES)
-        for instance in resting:
+        rejecting = [f"{ENGINES}-{at}" for at in range(3)] + [f"{PLAIN}-0"]
+        for instance in rejecting:
+            office.upstreams[instance].backoff = BACKOFF_S
+        await office.play(REJECTING_MS, RATES)
+        for instance in rejecting:
             office.upstreams[instance].backoff = None
         await office.play(AFTER_MS, RATES)
         await office.stop()
     calls = [one for one in office.finished if one.sent_ms >= from_ms]
     served = sum(one.status == 200 for one in calls) / len(calls)
-    away = sum(len(one.backoff_requests) for one in office.upstreams.values()) / len(calls)
+    rejected = sum(len(one.backoff_requests) for one in office.upstreams.values()) / len(calls)
     text = office.metrics.text()
     held, over = (_count(text, name) for name in ("sends_held_back", "repeats_over_budget"))
-    words_per_s = 1000 * words / ASKED_MS
-    named_per_s = RATES[ENGINES] * 3 * INSTANCE_BYTES
-    row = (gateways, way, f"{served:.4f}", f"{away:.4f}", held, over, f"{words_per_s:.1f}")
-    return f"| {' | '.join(map(str, (*row, f'{named_per_s:.0f}')))} |"
+    reports_per_s = 1000 * reports / REJECTING_MS
+    named_bytes_per_s = RATES[ENGINES] * 3 * INSTANCE_BYTES
+    row = (
+        gateways,
+        strategy,
+        f"{served:.4f}",
+        f"{rejected:.4f}",
+        held,
+        over,
+        f"{reports_per_s:.1f}",
+    )
+    return f"| {' | '.join(map(str, (*row, f'{named_bytes_per_s:.0f}')))} |"
 
 
 def _count(text: str, name: str) -> int:
@@ -97,14 +112,14 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Print a row for each number of gateways and strategy."""
     cli = argparse.ArgumentParser(description=__doc__)
     cli.add_argument("--gateways", type=int, nargs="+", default=[9, 91, 410])
     cli.add_argument("--seed", type=int, default=1)
     args = cli.parse_args()
     for gateways in args.gateways:
-        for way in WAYS:
-            print(asyncio.run(play(gateways, way, args.seed)), flush=True)
+        for strategy in STRATEGIES:
+            print(asyncio.run(simulate(gateways, strategy, args.seed)), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/change_slopes.py
+++ b/benchmarks/change_slopes.py
@@ -1,4 +1,4 @@
-"""What a change of the configuration costs, at several numbers of adapters."""
+"""Processor time of a change of the configuration, by the number of adapters."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 from .slope import Slope, fit
 
 
-def _timed_us(work: Callable[[], Any], times: int) -> float:
+def _mean_us(work: Callable[[], Any], times: int) -> float:
+    """Return the mean processor time of one call, µs."""
     before = cpu_us()
     for _ in range(times):
         work()
@@ -25,6 +26,7 @@
 
 
 def change_slopes() -> list[Slope]:
+    """Measure changes, validation and snapshots at each size of `ADAPTERS`."""
     leader, gateway, whole, validating, dump, restore = [], [], [], [], [], []
     for size in ADAPTERS:
         state = state_of(size)
@@ -35,12 +37,12 @@
             number = next(numbers)
             state.apply(number + 1, change(number, p, state.revision))
 
-        leader.append((size, _timed_us(one_change, 200)))
+        leader.append((size, _mean_us(one_change, 200)))
         layers = LayeredConfig(json.loads(json.dumps(state.layers.layers)))
         site = SiteConfig(SITE, layers)
         typed = TypedConfig()
         names = list(layers.names(SITE))
-        whole.append((size, _timed_us(lambda t=typed, s=site, n=names: t.update(s.entries, n), 1)))
+        whole.append((size, _mean_us(lambda t=typed, s=site, n=names: t.update(s.entries, n), 1)))
 
         def one_delta(
             layers: LayeredConfig = layers,
@@ -52,14 +54,14 @@
             site.update(layers, touched)
             typed.update(site.entries, touched)
 
-        gateway.append((size, _timed_us(one_delta, 200)))
+        gateway.append((size, _mean_us(one_delta, 200)))
         entries = site.entries
         validating.append(
-            (size, _timed_us(lambda e=entries, n=names: validate_site(SITE, e, {}, n), 1))
+            (size, _mean_us(lambda e=entries, n=names: validate_site(SITE, e, {}, n), 1))
         )
         data = state.dump()
-        dump.append((size, _timed_us(lambda s=state: s.dump(), 1)))
-        restore.append((size, _timed_us(lambda d=data: ControlState().restore(d), 1)))
+        dump.append((size, _mean_us(lambda s=state: s.dump(), 1)))
+        restore.append((size, _mean_us(lambda d=data: ControlState().restore(d), 1)))
     per = "µs per adapter present"
     return [
         fit("a change applied by a controller (one site)", per, leader),
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,8 +1,8 @@
-"""How fast control is at today's size.
+"""Speed of the control plane with 3 controllers and 9 gateways.
 
-`python -m benchmarks.control` starts 3 controllers and 9 gateways as processes and measures: time
-without a leader after SIGKILL and after SIGSTOP, acknowledged changes a second, and the time from
-"accepted" until a change is in force on all 9 gateways.
+`python -m benchmarks.control` starts them as processes and measures the time without a leader after
+SIGKILL and after SIGSTOP of the leader, the acknowledged changes per second, and the time from the
+acceptance of a change until it is in force on all 9 gateways.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 ROUNDS = 5
 CHANGES = 200
-IN_FORCE = 40
+IN_FORCE_CHANGES = 40
 
 
 async def _change(session: OperatorSession, revision: int, number: int) -> int:
@@ -29,7 +29,7 @@
 
 
 async def _leaderless_ms(office: ProcessOffice, signum: signal.Signals) -> float:
-    """Time from losing the leader until another one answers a read."""
+    """Return the time from the signal to the leader until another leader answers a read."""
     async with office.operator() as session:
         leader = (await session.status()).leader
         office.signal(leader, signum)
@@ -50,7 +50,7 @@
     return took_ms
 
 
-async def _changes(office: ProcessOffice) -> None:
+async def _measure_changes(office: ProcessOffice) -> None:
     async with office.operator() as session:
         revision, _ = await session.layers()
         times = []
@@ -65,7 +65,7 @@
             f"changes one after another: {per_s:.0f} a second, p50 {p50:.1f} ms, p95 {p95:.1f} ms"
         )
         in_force = []
-        for number in range(CHANGES, CHANGES + IN_FORCE):
+        for number in range(CHANGES, CHANGES + IN_FORCE_CHANGES):
             revision = await _change(session, revision, number)
             before = time.monotonic()
             while min(g.revision for g in (await session.status()).gateways) < revision:
@@ -73,13 +73,13 @@
             in_force.append((time.monotonic() - before) * 1000)
         p50, p95, most = np.percentile(in_force, [50, 95, 100])
         print(
-            f"in force on all 9 gateways, as their heartbeats say, {IN_FORCE} changes: "
+            f"in force on all 9 gateways, as their heartbeats say, {IN_FORCE_CHANGES} changes: "
             f"p50 {p50:.0f} ms, p95 {p95:.0f} ms, most {most:.0f} ms"
         )
 
 
 async def _measure(office: ProcessOffice) -> None:
-    await _changes(office)
+    await _measure_changes(office)
     for signum in (signal.SIGKILL, signal.SIGSTOP):
         times = [await _leaderless_ms(office, signum) for _ in range(ROUNDS)]
         shown = ", ".join(f"{ms:.0f}" for ms in sorted(times))
@@ -87,7 +87,7 @@
 
 
 def main() -> None:
-    """Start the office, measure, stop it."""
+    """Start the processes, measure, and stop them."""
     office = ProcessOffice(controllers=3, gateways=9, engines=1)
     try:
         office.start()
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -1,7 +1,7 @@
-"""What the office costs while no caller asks for anything.
+"""Cost of a deployment that gets no requests.
 
 `python -m benchmarks.idle` starts 3 controllers, 9 gateways and 12 engines as processes, the size
-of the Instituto today, and reads processor time, memory and loopback bytes over some seconds.
+of the current deployment, and measures processor time, memory and loopback bytes for 10 s.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def main() -> None:
-    """Start the office, wait, measure, stop it."""
+    """Start the processes, measure while they are idle, and stop them."""
     office = ProcessOffice(controllers=3, gateways=9, engines=12)
     try:
         office.start()
@@ -25,12 +25,12 @@
         before = {name: cpu_us(pid) for name, pid in pids.items()}
         before_bytes = loopback_bytes()
         time.sleep(SECONDS)
-        sent = (loopback_bytes() - before_bytes) / SECONDS
+        bytes_per_s = (loopback_bytes() - before_bytes) / SECONDS
         print("| process | % of a core | MB resident |\n|---|---|---|")
         for name, pid in sorted(pids.items()):
             share = (cpu_us(pid) - before[name]) / SECONDS / 1e4
             print(f"| {name} | {share:.2f} | {resident_bytes(pid) / 1e6:.0f} |")
-        print(f"\nloopback bytes of all {len(pids)} processes: {sent:,.0f} a second")
+        print(f"\nloopback bytes of all {len(pids)} processes: {bytes_per_s:,.0f} a second")
     finally:
         office.stop()
 
--- a/benchmarks/log_slopes.py
+++ b/benchmarks/log_slopes.py
@@ -1,4 +1,4 @@
-"""What a claim costs in the log of one replica with a real disk."""
+"""Cost of committing a claim to the log of one replica on a real disk."""
 
 from __future__ import annotations
 
@@ -21,31 +21,35 @@
 from .slope import Slope, fit
 
 
-class _Nobody(Transport):
+class _NoPeers(Transport):
+    """The transport of a replica that is the only member."""
+
     async def call(self, member: Member, msg: Any, timeout_ms: float) -> Any:
         raise ConnectionError("alone")
 
 
 async def log_slopes() -> list[Slope]:
-    one, many, one_cpu, many_cpu, size = [], [], [], [], []
+    """Measure claims proposed one by one and 64 at once."""
+    single_ms, batch_ms, single_us, batch_us, log_bytes = [], [], [], [], []
     for count in CALLS:
-        took_ms, used_us, written = await _claims(count, at_once=1)
-        one.append((count, took_ms))
-        one_cpu.append((count, used_us))
-        size.append((count, written))
-        took_ms, used_us, _ = await _claims(count, at_once=64)
-        many.append((count, took_ms))
-        many_cpu.append((count, used_us))
+        took_ms, used_us, written = await _commit_claims(count, at_once=1)
+        single_ms.append((count, took_ms))
+        single_us.append((count, used_us))
+        log_bytes.append((count, written))
+        took_ms, used_us, _ = await _commit_claims(count, at_once=64)
+        batch_ms.append((count, took_ms))
+        batch_us.append((count, used_us))
     return [
-        fit("claim committed one by one, synced, one replica", "ms", one),
-        fit("claim committed 64 at once, synced, one replica", "ms", many),
-        fit("claim committed one by one, processor", "µs", one_cpu),
-        fit("claim committed 64 at once, processor", "µs", many_cpu),
-        fit("claim in the write-ahead log", "bytes", size),
+        fit("claim committed one by one, synced, one replica", "ms", single_ms),
+        fit("claim committed 64 at once, synced, one replica", "ms", batch_ms),
+        fit("claim committed one by one, processor", "µs", single_us),
+        fit("claim committed 64 at once, processor", "µs", batch_us),
+        fit("claim in the write-ahead log", "bytes", log_bytes),
     ]
 
 
-async def _claims(count: int, at_once: int) -> tuple[float, float, float]:
+async def _commit_claims(count: int, at_once: int) -> tuple[float, float, float]:
+    """Commit `count` claims; return elapsed ms, processor time in µs and bytes of the log."""
     with tempfile.TemporaryDirectory() as path:
         folder = DiskFolder(Path(path))
         storage = FileStorage(folder)
@@ -54,7 +58,7 @@
             "a",
             storage,
             ControlState(),
-            _Nobody(),
+            _NoPeers(),
             SystemClock(),
             random.Random(1),
             Timing(),
--- a/benchmarks/memory_slopes.py
+++ b/benchmarks/memory_slopes.py
@@ -1,4 +1,4 @@
-"""What each thing that is kept costs in memory: the growth of a fresh process."""
+"""Memory for each adapter and claim, as the growth of a new process that holds them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 from .slope import Slope, fit
 
 
-def memory_points() -> dict[str, Callable[[int], float]]:
+def measurements() -> dict[str, Callable[[int], float]]:
+    """Return the measurements by name; each takes a size and returns bytes."""
     return {"gateway": _gateway_memory, "controller": _controller_memory, "claims": _claim_memory}
 
 
@@ -50,22 +51,23 @@
 
 
 def memory_slopes() -> list[Slope]:
-    plans = (
+    """Measure each size in a new process, where no memory was freed and reused before."""
+    series = (
         ("gateway", "adapter in a gateway", ADAPTERS),
         ("controller", "adapter in a controller (one site)", ADAPTERS),
         ("claims", "claim in a controller", (20_000, 60_000, 180_000)),
     )
     return [
-        fit(what, "bytes resident", [(size, _fresh(kind, size)) for size in sizes])
-        for kind, what, sizes in plans
+        fit(what, "bytes resident", [(size, _in_new_process(kind, size)) for size in sizes])
+        for kind, what, sizes in series
     ]
 
 
-def _fresh(kind: str, size: int) -> float:
+def _in_new_process(kind: str, size: int) -> float:
     command = [sys.executable, "-m", "benchmarks.memory_slopes", kind, str(size)]
     done = subprocess.run(command, capture_output=True, text=True, check=True)
     return float(json.loads(done.stdout))
 
 
 if __name__ == "__main__":
-    print(json.dumps(memory_points()[sys.argv[1]](int(sys.argv[2]))))
+    print(json.dumps(measurements()[sys.argv[1]](int(sys.argv[2]))))
--- a/benchmarks/message_slopes.py
+++ b/benchmarks/message_slopes.py
@@ -1,4 +1,4 @@
-"""What each message costs; both ends run in one process."""
+"""Processor time and bytes of each kind of message; both ends run in one process."""
 
 from __future__ import annotations
 
@@ -32,6 +32,7 @@
 
 
 async def message_slopes() -> list[Slope]:
+    """Measure each kind of message at several numbers of calls."""
     found = []
     for name, measure in (
         ("heartbeat and reply", _heartbeats),
@@ -50,6 +51,7 @@
 
 
 async def _cost(work: Callable[[], Awaitable[Any]]) -> tuple[float, float]:
+    """Return processor time in µs and loopback bytes of `work`."""
     before_us, before_bytes = cpu_us(), loopback_bytes()
     await work()
     return cpu_us() - before_us, loopback_bytes() - before_bytes
@@ -88,8 +90,8 @@
     return cost
 
 
-class _GrantingDesk:
-    """Grants at once, and publishes what it is told to."""
+class _GrantingOwners:
+    """Stands for `EngineOwners`: grants every ticket at once, and publishes one given view."""
 
     def __init__(self) -> None:
         self.published: list[EngineView] = []
@@ -114,14 +116,16 @@
 
 
 class _FastClock(SystemClock):
+    """Sleeps 0.5 ms instead of the time asked for, so that views are sent without pauses."""
+
     async def sleep_ms(self, ms: float) -> None:
         await asyncio.sleep(0.0005)
 
 
 @contextlib.asynccontextmanager
-async def _link(desk: _GrantingDesk, clock: SystemClock) -> Any:
+async def _link(owners: _GrantingOwners, clock: SystemClock) -> Any:
     server = RpcServer("127.0.0.1:0")
-    server.add_stream("Tickets", TICKET_CODEC, PeerServer(desk, clock).serve)  # type: ignore[arg-type]
+    server.add_stream("Tickets", TICKET_CODEC, PeerServer(owners, clock).serve)  # type: ignore[arg-type]
     await server.start()
     link = PeerLink("entry-1#abcdef012345", f"127.0.0.1:{server.port}", SystemClock(), None)
     task = asyncio.ensure_future(link.run())
@@ -135,7 +139,7 @@
 
 async def _tickets(count: int) -> tuple[float, float]:
     adapter = "tejas-de-arcilla@17+0123456789abcdef"
-    async with _link(_GrantingDesk(), SystemClock()) as link:
+    async with _link(_GrantingOwners(), SystemClock()) as link:
 
         async def work() -> None:
             for number in range(count):
@@ -147,13 +151,13 @@
 
 
 async def _views(count: int) -> tuple[float, float]:
-    desk = _GrantingDesk()
+    owners = _GrantingOwners()
     ready = tuple(f"tejas-{number}@17+0123456789abcdef" for number in range(8))
-    async with _link(desk, _FastClock()) as link:
+    async with _link(owners, _FastClock()) as link:
 
         async def work() -> None:
             for number in range(count):
-                desk.publish(EngineView("engine-1", ready, number, 0))
+                owners.publish(EngineView("engine-1", ready, number, 0))
                 while "engine-1" not in link.views or link.views["engine-1"].running != number:
                     await asyncio.sleep(0)
 
--- a/benchmarks/meter.py
+++ b/benchmarks/meter.py
@@ -1,4 +1,4 @@
-"""Reading this process's costs."""
+"""Memory and processor time of processes, and traffic of the loopback interface."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 def resident_bytes(pid: int | str = "self") -> int:
-    """Resident memory of a process, bytes."""
+    """Return the resident memory of a process, by default this one."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE")
 
 
 def cpu_us(pid: int | None = None) -> float:
-    """Processor time used so far, µs; of another process in steps of 10 ms."""
+    """Return the processor time used so far; that of another process grows in steps of 10 ms."""
     if pid is None:
         return time.process_time() * 1e6
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
@@ -22,7 +22,7 @@
 
 
 def loopback_bytes() -> int:
-    """Bytes sent over loopback so far by anyone on this machine, headers included."""
+    """Return bytes sent over loopback so far by all processes, headers included."""
     for line in Path("/proc/net/dev").read_text().splitlines():
         if line.strip().startswith("lo:"):
             return int(line.split(":")[1].split()[8])
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -1,9 +1,9 @@
-"""What the gateway adds to a call of the engine.
+"""Latency, processor time and memory that the gateway adds to a call of an engine.
 
-`python -m benchmarks.overhead` starts one controller, one gateway and one stand-in engine, and
-streams through the gateway and directly, in turn, in one run. Given are the time to the first event
-and between events, the gateway's processor time for each request and each relayed event, and its
-memory for each open stream. Starts are spread such that about `STREAMS` run at once.
+`python -m benchmarks.overhead` starts one controller, one gateway and one simulated engine, and
+alternates between streams through the gateway and directly from the engine. It prints the time to
+the first event and between events, the gateway's processor time per request and per relayed event,
+and its memory per open stream. Starts are spread so that about `STREAMS` streams run at once.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class _Times:
+class _Latencies:
     first_ms: list[float] = field(default_factory=list)
     between_ms: list[float] = field(default_factory=list)
     events: int = 0
@@ -43,7 +43,7 @@
 
 
 async def _stream(
-    session: aiohttp.ClientSession, target: _Target, tokens: int, number: int, times: _Times
+    session: aiohttp.ClientSession, target: _Target, tokens: int, number: int, times: _Latencies
 ) -> None:
     body = json.dumps({"model": target.model, "stream": True, "max_tokens": tokens, "prompt": "x"})
     headers = target.headers | {"X-Request-Id": f"direct-{time.perf_counter_ns()}-{number}"}
@@ -63,14 +63,16 @@
             times.events += 1
 
 
-async def _round(target: _Target, count: int, tokens: int, starts_s: float | None = None) -> _Times:
-    times = _Times()
-    between_s = tokens * STEP_MS / STREAMS / 1000 if starts_s is None else starts_s / count
+async def _run_streams(
+    target: _Target, count: int, tokens: int, starts_s: float | None = None
+) -> _Latencies:
+    times = _Latencies()
+    start_gap_s = tokens * STEP_MS / STREAMS / 1000 if starts_s is None else starts_s / count
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector, trust_env=False) as session:
 
         async def one(number: int) -> None:
-            await asyncio.sleep(number * between_s)
+            await asyncio.sleep(number * start_gap_s)
             await _stream(session, target, tokens, number, times)
 
         await asyncio.gather(*(one(number) for number in range(count)))
@@ -85,30 +87,30 @@
         f"http://{office.engines[0]}{path}", model, {"Content-Type": "application/json"}
     )
     pid = office.processes["g0"].pid
-    await _round(through, 10, 10)
+    await _run_streams(through, 10, 10)
     costs = []
     for tokens in TOKENS:
-        collected = {"direct": _Times(), "through": _Times()}
+        collected = {"direct": _Latencies(), "through": _Latencies()}
         gateway_us = 0.0
         for _ in range(ROUNDS):
-            _add(collected["direct"], await _round(direct, 2 * STREAMS, tokens))
+            _add(collected["direct"], await _run_streams(direct, 2 * STREAMS, tokens))
             before = cpu_us(pid)
-            _add(collected["through"], await _round(through, 2 * STREAMS, tokens))
+            _add(collected["through"], await _run_streams(through, 2 * STREAMS, tokens))
             gateway_us += cpu_us(pid) - before
-        _print(collected, tokens)
+        _print_latencies(collected, tokens)
         costs.append((tokens, gateway_us / (2 * STREAMS * ROUNDS)))
     print("| what | slope | fixed | residual | points |\n|---|---|---|---|---|")
     print(fit("gateway, for each event of a request (fixed: the request)", "µs", costs).row())
     await _memory(through, pid)
 
 
-def _add(to: _Times, times: _Times) -> None:
-    to.first_ms += times.first_ms
-    to.between_ms += times.between_ms
-    to.events += times.events
+def _add(total: _Latencies, times: _Latencies) -> None:
+    total.first_ms += times.first_ms
+    total.between_ms += times.between_ms
+    total.events += times.events
 
 
-def _print(collected: dict[str, _Times], tokens: int) -> None:
+def _print_latencies(collected: dict[str, _Latencies], tokens: int) -> None:
     print(f"about {STREAMS} streams at once, {tokens} tokens, step {STEP_MS} ms, {ROUNDS} rounds")
     print("| | first p50 | first p95 | between p50 | between p95 |")
     print("|---|---|---|---|---|")
@@ -127,7 +129,7 @@
 async def _memory(through: _Target, pid: int) -> None:
     points = []
     for count in (50, 100, 200):
-        task = asyncio.ensure_future(_round(through, count, 150, starts_s=1.0))
+        task = asyncio.ensure_future(_run_streams(through, count, 150, starts_s=1.0))
         await asyncio.sleep(2.0)
         points.append((count, float(resident_bytes(pid))))
         await task
@@ -136,7 +138,7 @@
 
 
 def main() -> None:
-    """Start the office, measure, stop it."""
+    """Start the processes, measure, and stop them."""
     office = ProcessOffice(controllers=1, gateways=1, engines=1)
     try:
         office.engine_settings = {"batch": 256, "step_ms": STEP_MS, "load_ms": 50}
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,16 +1,16 @@
-"""What placement serves in time, and what a decision costs the leader, as the load grows.
+"""Requests served in time, and the leader's processor time per placement, as the load grows.
 
-The pattern: engines with few adapter places each and 10,000 adapters with skewed popularity that
-moves on, so that places for adapters bind before anything else; with `--engines` halved, the
-seconds after an outage. Engines load an adapter from the
-weight store in 288 ms, or in 29 ms if they held it recently. Nothing is sent; time is simulated.
+Engines with few adapter slots serve 10,000 adapters whose skewed popularity shifts, so that adapter
+slots run out before any other resource. Half as many `--engines` give the seconds after an outage.
+Engines load an adapter from the weight store in 288 ms, or in 29 ms if they held it recently.
+Nothing is sent; time is simulated.
 
-With `--limited N` so many engines name a limit from the third second on; the last column is the
-part of what they take that they were sent.
+With `--limited N`, N engines declare a limit after the first three seconds; the last column is the
+number of requests sent to them, as a fraction of what they accept.
 
-Columns: requests a second; share with a first event in time, late, and refused; grants that came
-before their adapter, and adapters brought from the weight store, for each request; processor ms for
-each request; longest round in ms.
+Columns: requests per second; fraction of them with the first event in time, late, and refused;
+grants that arrived before the adapter was loaded, and loads from the weight store, per request;
+processor ms per request; longest round of decisions in ms.
 """
 
 from __future__ import annotations
@@ -46,34 +46,34 @@
 ADAPTERS = 10_000
 SKEW = 1.15
 SHIFT_MS = 250
-"""How often the most popular adapter falls silent and a new one comes in."""
+"""How often the most popular adapter moves to the last rank and all others move up."""
 OBJECTIVE_MS = 500
 WAIT_MS = 4_000
 RUN_MS = 400
-"""Mean time of an answer on its engine."""
+"""Mean time that an answer takes on its engine."""
 FIRST_MS = 45
-"""From a grant to the first event."""
+"""Time from a grant to the first event."""
 REFUSED_MS = 6
-"""From a grant to the news that the engine refused it."""
+"""Time from a grant to the engine's refusal of the request."""
 LIMITED_FROM_MS = 3_000
 GAP_MS = 20
-"""Between two events."""
+"""Time between two events."""
 COLD_MS, WARM_MS = 288, 29
-COPIES = 40
-"""Adapters that an engine keeps in its own memory beyond those it holds."""
+MAX_WARM_ADAPTERS = 40
+"""Adapters that an engine keeps in memory after unloading them, so that they load fast."""
 STEP_MS = 4
-"""How often the leader decides when messages keep coming."""
+"""How often the leader decides while messages keep arriving."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Asked:
-    """A request and when its caller came."""
+class _PendingRequest:
+    """A request and the time at which it arrived."""
 
     req: PlaceRequest
     since_ms: int
 
-    def again(self, now_ms: int) -> _Asked:
-        """The same request, placed anew after an engine refused it."""
+    def resubmitted(self, now_ms: int) -> _PendingRequest:
+        """Return the request to submit after an engine refused it, with the time that is left."""
         passed_ms = now_ms - self.since_ms
         req = replace(
             self.req,
@@ -81,11 +81,11 @@
             objective_ms=max(OBJECTIVE_MS - passed_ms, 0),
             wait_ms=max(WAIT_MS - passed_ms, 0),
         )
-        return _Asked(req, self.since_ms)
+        return _PendingRequest(req, self.since_ms)
 
 
 class _Traffic:
-    """Adapters drawn by popularity that moves on."""
+    """Requests for adapters drawn by a popularity that shifts."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -105,145 +105,157 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Office:
-    """Engines that serve, requests that each runs at once, and its places for adapters."""
+class Deployment:
+    """Number and capacity of the engines.
+
+    Attributes
+    ----------
+    batch : int
+        Requests that an engine runs at once.
+    adapter_slots : int
+        Adapter slots of an engine.
+    run_ms : int
+        Mean time of an answer.
+    """
 
     engines: int
     batch: int
-    places: int
+    adapter_slots: int
     run_ms: int
 
     @property
     def spec(self) -> EngineSpec:
-        """What the service says of each engine."""
+        """The capacity of each engine, as the service declares it."""
         models = (ModelSpec(MODEL, 65_000),)
-        return EngineSpec(self.batch, 211_000, models, 74_800, self.places, 34)
+        return EngineSpec(self.batch, 211_000, models, 74_800, self.adapter_slots, 34)
 
 
-class _Engines:
-    """Engines' own memories: what a load really takes."""
+class _SimulatedEngines:
+    """Simulates how long each load takes, by the adapters that engines still have in memory."""
 
     def __init__(self, engines: int) -> None:
-        self._copies = {f"e{n}": OrderedDict[AdapterName, None]() for n in range(engines)}
-        self._held: dict[tuple[str, AdapterName], float] = {}
-        self.brought = 0
+        self._warm = {f"e{n}": OrderedDict[AdapterName, None]() for n in range(engines)}
+        self._loaded_at_ms: dict[tuple[str, AdapterName], float] = {}
+        self.store_loads = 0
 
-    def drop(self, instance: str, adapter: AdapterName) -> None:
-        copies = self._copies[instance]
-        copies[adapter] = None
-        copies.move_to_end(adapter)
-        if len(copies) > COPIES:
-            copies.popitem(last=False)
+    def unload(self, instance: str, adapter: AdapterName) -> None:
+        warm_adapters = self._warm[instance]
+        warm_adapters[adapter] = None
+        warm_adapters.move_to_end(adapter)
+        if len(warm_adapters) > MAX_WARM_ADAPTERS:
+            warm_adapters.popitem(last=False)
 
     def load(self, instance: str, adapter: AdapterName, now_ms: int) -> None:
-        warm = adapter in self._copies[instance]
-        self._copies[instance].pop(adapter, None)
-        self.brought += not warm
-        self._held[instance, adapter] = now_ms + (WARM_MS if warm else COLD_MS)
+        warm = adapter in self._warm[instance]
+        self._warm[instance].pop(adapter, None)
+        self.store_loads += not warm
+        self._loaded_at_ms[instance, adapter] = now_ms + (WARM_MS if warm else COLD_MS)
 
-    def refuses(self, instance: str, asked: _Asked, now_ms: int) -> bool:
-        """Whether the adapter is not there yet."""
-        return now_ms < self._held[instance, asked.req.adapter]
+    def refuses(self, instance: str, request: _PendingRequest, now_ms: int) -> bool:
+        """Whether the adapter of a request is not yet loaded."""
+        return now_ms < self._loaded_at_ms[instance, request.req.adapter]
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    """Engines that name a limit, and how many requests a second each takes then."""
+class EngineLimits:
+    """Number of engines that declare a limit, and requests per second that each accepts then."""
 
     engines: int
     per_s: float
 
-    def begin(self, placer: Placer, book: LimitRegistry) -> None:
-        """Let them name it."""
+    def report(self, placer: Placer, limit_registry: LimitRegistry) -> None:
+        """Report the limits to the leader."""
         for number in range(self.engines):
-            book.update(HeardLimit(f"e{number}", self.per_s, 0), counts_sends=True)
+            limit_registry.update(HeardLimit(f"e{number}", self.per_s, 0), counts_sends=True)
             placer.limit_changed(f"e{number}")
 
-    def is_one(self, instance: str) -> bool:
-        """Whether an engine names a limit."""
+    def is_limited(self, instance: str) -> bool:
+        """Whether an engine declares a limit."""
         return int(instance[1:]) < self.engines
 
     def used(self, sent: int, seconds: float) -> float:
-        """Part of what they take that they were sent."""
+        """Return the requests sent to these engines, as a fraction of what they accept."""
         allowed = self.engines * self.per_s * seconds
         return sent / allowed if allowed else 1.0
 
 
-def play(office: Office, limits: Limits, per_s: int, seconds: int, seed: int) -> str:
-    """Play a steady load; one line of the table."""
+def simulate(
+    deployment: Deployment, limits: EngineLimits, per_s: int, seconds: int, seed: int
+) -> str:
+    """Simulate a steady load and return a row of the table."""
     rng = random.Random(seed)
     clock = ManualClock()
-    book = LimitRegistry(clock)
-    placer = Placer(clock, book)
-    to_limited = 0
-    for number in range(office.engines):
-        placer.engine_up(f"e{number}", "s", "dc", office.spec)
+    limit_registry = LimitRegistry(clock)
+    placer = Placer(clock, limit_registry)
+    sent_to_limited = 0
+    for number in range(deployment.engines):
+        placer.engine_up(f"e{number}", "s", "dc", deployment.spec)
         placer.engine_reported(f"e{number}", EngineReport({MODEL: 1}, {}, {}, 0))
-    traffic, engines = _Traffic(rng), _Engines(office.engines)
+    traffic, engines = _Traffic(rng), _SimulatedEngines(deployment.engines)
     ending: list[tuple[float, str, RunOutcome]] = []
     refused: deque[tuple[float, str]] = deque()
-    asked: dict[str, _Asked] = {}
-    seen: Counter[str] = Counter()
+    pending: dict[str, _PendingRequest] = {}
+    outcomes: Counter[str] = Counter()
     total = 0
     spent_s = longest_ms = 0.0
     next_ms = 0.0
     for now_ms in range(0, seconds * 1000, STEP_MS):
         clock._now_ms = now_ms
         if now_ms == LIMITED_FROM_MS:
-            limits.begin(placer, book)
+            limits.report(placer, limit_registry)
         if now_ms % SHIFT_MS < STEP_MS:
             traffic.shift()
-        begin = time.process_time()
+        started_s = time.process_time()
         while next_ms <= now_ms:
             req = traffic.draw(total)
-            asked[req.ticket] = _Asked(req, now_ms)
+            pending[req.ticket] = _PendingRequest(req, now_ms)
             total += 1
             placer.submit(req)
             next_ms += rng.expovariate(per_s / 1000)
         while refused and refused[0][0] <= now_ms:
             _, ticket = refused.popleft()
             placer.release(ticket, RunOutcome.ABSENT)
-            again = asked.pop(ticket).again(now_ms)
-            asked[again.req.ticket] = again
-            placer.submit(again.req)
-            seen["early"] += 1
+            resubmitted = pending.pop(ticket).resubmitted(now_ms)
+            pending[resubmitted.req.ticket] = resubmitted
+            placer.submit(resubmitted.req)
+            outcomes["early"] += 1
         while ending and ending[0][0] <= now_ms:
             _, ticket, outcome = heapq.heappop(ending)
             placer.release(ticket, outcome, RunTimes(FIRST_MS, 0.0, GAP_MS))
         decisions = list(placer.decide())
-        took_s = time.process_time() - begin
+        took_s = time.process_time() - started_s
         spent_s += took_s
         longest_ms = max(longest_ms, took_s * 1000)
         for decision in decisions:
             match decision:
-                case Grant(ticket, instance) if engines.refuses(instance, asked[ticket], now_ms):
+                case Grant(ticket, instance) if engines.refuses(instance, pending[ticket], now_ms):
                     refused.append((now_ms + REFUSED_MS, ticket))
                 case Grant(ticket, instance):
-                    to_limited += limits.is_one(instance) and now_ms >= LIMITED_FROM_MS
-                    first_ms = now_ms + FIRST_MS - asked[ticket].since_ms
-                    seen["in time" if first_ms <= OBJECTIVE_MS else "late"] += 1
-                    end_ms = now_ms + rng.uniform(0.5, 1.5) * office.run_ms
+                    sent_to_limited += limits.is_limited(instance) and now_ms >= LIMITED_FROM_MS
+                    first_ms = now_ms + FIRST_MS - pending[ticket].since_ms
+                    outcomes["in time" if first_ms <= OBJECTIVE_MS else "late"] += 1
+                    end_ms = now_ms + rng.uniform(0.5, 1.5) * deployment.run_ms
                     heapq.heappush(ending, (end_ms, ticket, RunOutcome.DONE))
                 case LoadAdapter(instance, adapter):
                     engines.load(instance, adapter, now_ms)
                     placer.order_taken(decision)
                 case UnloadAdapter(instance, adapter):
-                    engines.drop(instance, adapter)
+                    engines.unload(instance, adapter)
                 case Reject():
-                    seen["refused"] += 1
+                    outcomes["refused"] += 1
                 case _:
                     raise AssertionError("the engines hold their model")
     total = max(total, 1)
     shares = " ".join(
-        f"{seen[key] / total:8.3f}" for key in ("in time", "late", "refused", "early")
+        f"{outcomes[key] / total:8.3f}" for key in ("in time", "late", "refused", "early")
     )
-    cost = f"{engines.brought / total:8.3f} {spent_s * 1000 / total:8.3f} {longest_ms:8.1f}"
-    used = limits.used(to_limited, seconds - LIMITED_FROM_MS / 1000)
+    cost = f"{engines.store_loads / total:8.3f} {spent_s * 1000 / total:8.3f} {longest_ms:8.1f}"
+    used = limits.used(sent_to_limited, seconds - LIMITED_FROM_MS / 1000)
     return f"{per_s:6d} {shares} {cost} {used:8.3f}"
 
 
 def main() -> None:
-    """Print one line for each rate."""
+    """Print a row for each rate."""
     cli = argparse.ArgumentParser(prog="placement", description=__doc__)
     cli.add_argument("--seconds", type=int, default=12)
     cli.add_argument("--seed", type=int, default=7)
@@ -255,11 +267,11 @@
     cli.add_argument("--limited", type=int, default=0, help="engines that name a limit")
     cli.add_argument("--limit", type=float, default=6.0, help="requests a second of each of them")
     args = cli.parse_args()
-    limits = Limits(args.limited, args.limit)
-    office = Office(args.engines, args.batch, args.places, args.run_ms)
+    limits = EngineLimits(args.limited, args.limit)
+    deployment = Deployment(args.engines, args.batch, args.places, args.run_ms)
     print(" per s  in time     late  refused    early  brought   cpu ms  longest     used")
     for per_s in args.rates:
-        print(play(office, limits, per_s, args.seconds, args.seed))
+        print(simulate(deployment, limits, per_s, args.seconds, args.seed))
 
 
 if __name__ == "__main__":
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -1,13 +1,16 @@
-"""Ways to keep one organisation's quota over many gateways, played against each other.
-
-`python -m benchmarks.quotas`: for each way and load, the share of what is owed that is refused, the
-most that passes in any window as a part of what may, messages a second of each gateway, and the
-share of requests that wait for a word of the keeper. The ways:
-
-- counted: what passed is told afterwards, and asked for once the organisation is short (in use);
-- leased: a gateway borrows tokens ahead of need for a second and gives back what it didn't use;
-- shares: each gateway has a part of the rate by the demand that all report five times a second;
-- asked: each request is asked for.
+"""Compares ways to enforce one organisation's quota over many gateways.
+
+The quota entitles the organisation to the units that one token bucket would admit. `python -m
+benchmarks.quotas` prints for each strategy and load: the fraction of the entitled units that is
+refused; the admitted units as a fraction of the entitled ones; the most units admitted in any
+window, as a fraction of the bound; messages per second of each gateway; and the fraction of
+requests that wait for an answer of the leader. The strategies:
+
+- counted: gateways report use afterwards, and ask for each request only while the organisation is
+  short of its quota (the strategy in use);
+- leased: a gateway borrows tokens in advance for a second and returns those that it did not use;
+- shares: each gateway has a share of the rate by the demand that all report five times a second;
+- asked: a gateway asks the leader for each request.
 """
 
 from __future__ import annotations
@@ -26,15 +29,23 @@
 PER_S = 29_000.0
 QUOTA = Quota(QuotaUnit.TOKENS, PER_S, PER_S, 200)
 BOUNDS = QuotaBounds(8_000, 0.1, 110_000)
-DRAFT, REASSESSMENT = 712, 9_240
+SMALL_REQUEST_TOKENS, LARGE_REQUEST_TOKENS = 712, 9_240
 STEP_MS = 10
 REPORT_MS = 200
 LEASE_MS = 1_000
 SECONDS = 20
 
 
-class _Way(ABC):
-    """Lets requests through, and counts what that costs."""
+class _Strategy(ABC):
+    """Admits requests, and counts the cost of doing so.
+
+    Attributes
+    ----------
+    messages : int
+        Messages between gateways and the leader.
+    waited : int
+        Requests that waited for an answer of the leader.
+    """
 
     def __init__(self, gateways: int) -> None:
         self.now_ms = 0
@@ -43,17 +54,17 @@
 
     @abstractmethod
     async def request(self, gateway: int, units: float) -> bool:
-        """Whether a request passes."""
+        """Return whether a request of `units` through a gateway is admitted."""
 
     @abstractmethod
     def step(self) -> None:
-        """Let some ms pass."""
+        """Advance the clock by `STEP_MS`."""
 
-    def lose_keeper(self) -> None:  # noqa: B027
-        """Another keeper begins, which knows nothing; ways without one need nothing."""
+    def replace_leader(self) -> None:  # noqa: B027
+        """Start a new leader without any state; strategies without a leader do nothing."""
 
 
-class _Counted(_Way):
+class _Counted(_Strategy):
     def __init__(self, gateways: int) -> None:
         super().__init__(gateways)
         self._office = QuotaOffice(gateways, Organisation("office", (), None, QUOTA), BOUNDS)
@@ -66,12 +77,12 @@
     def step(self) -> None:
         self._office.wait(STEP_MS)
 
-    def lose_keeper(self) -> None:
+    def replace_leader(self) -> None:
         self._office.begin_leader()
 
 
-class _Central(_Way):
-    """What the other ways share: one bucket at the keeper."""
+class _LeaderBucket(_Strategy):
+    """One token bucket at the leader, which other strategies take from."""
 
     def __init__(self, gateways: int) -> None:
         super().__init__(gateways)
@@ -80,11 +91,11 @@
     def step(self) -> None:
         self.now_ms += STEP_MS
 
-    def lose_keeper(self) -> None:
+    def replace_leader(self) -> None:
         self.bucket = TokenBucket(PER_S, PER_S, 0.0, self.now_ms)
 
 
-class _Asked(_Central):
+class _Asked(_LeaderBucket):
     async def request(self, gateway: int, units: float) -> bool:
         self.messages += 1
         self.waited += 1
@@ -94,8 +105,8 @@
         return True
 
 
-class _Leased(_Central):
-    """Leases of twice what the last second took, given back when they end."""
+class _Leased(_LeaderBucket):
+    """Leases of twice the units that were used since the last lease ended; the rest is returned."""
 
     def __init__(self, gateways: int) -> None:
         super().__init__(gateways)
@@ -127,18 +138,20 @@
         self._used = [0.0] * self.gateways
 
 
-class _Shares(_Way):
-    """A bucket at each gateway, filled by its part of what all asked for lately."""
+class _Shares(_Strategy):
+    """A bucket at each gateway that fills by its share of the recent demand at all gateways."""
 
     def __init__(self, gateways: int) -> None:
         super().__init__(gateways)
-        part = PER_S / gateways
-        self._own = [TokenBucket(part, part, part, 0) for _ in range(gateways)]
+        share_per_s = PER_S / gateways
+        self._buckets = [
+            TokenBucket(share_per_s, share_per_s, share_per_s, 0) for _ in range(gateways)
+        ]
         self._wanted = [0.0] * gateways
 
     async def request(self, gateway: int, units: float) -> bool:
         self._wanted[gateway] += units
-        bucket = self._own[gateway]
+        bucket = self._buckets[gateway]
         if bucket.level(self.now_ms) <= 0:
             return False
         bucket.take(units, self.now_ms)
@@ -150,14 +163,15 @@
             return
         self.messages += 2 * self.gateways
         total = sum(self._wanted) + 1.0
-        for bucket, wanted in zip(self._own, self._wanted, strict=True):
-            # A tenth in equal parts, so that one without demand can begin.
-            part = PER_S * (0.9 * wanted / total + 0.1 / self.gateways)
-            bucket.resize(part, part, self.now_ms)
+        for bucket, wanted in zip(self._buckets, self._wanted, strict=True):
+            # A tenth of the rate is shared equally, so that a gateway without recent demand can
+            # admit its first requests.
+            share_per_s = PER_S * (0.9 * wanted / total + 0.1 / self.gateways)
+            bucket.resize(share_per_s, share_per_s, self.now_ms)
         self._wanted = [0.7 * wanted for wanted in self._wanted]
 
 
-WAYS: dict[str, type[_Way]] = {
+STRATEGIES: dict[str, type[_Strategy]] = {
     "counted": _Counted,
     "leased": _Leased,
     "shares": _Shares,
@@ -165,46 +179,64 @@
 }
 
 
-async def _play(way: _Way, load: float, clients: int, moves: bool, loses: bool) -> str:
+async def _simulate(
+    strategy: _Strategy, load: float, used_gateways: int, moves: bool, changes_leader: bool
+) -> str:
+    """Simulate one load and return the figures of a row.
+
+    Parameters
+    ----------
+    load : float
+        Units that callers ask for, as a multiple of the quota's rate.
+    used_gateways : int
+        Gateways that receive the requests.
+    moves : bool
+        Whether other gateways receive them each second.
+    changes_leader : bool
+        Whether the leader changes every five seconds.
+    """
     rng = random.Random(1)
     for _ in range(200):
-        way.step()
+        strategy.step()
     passed: list[tuple[int, float]] = []
     sent = tokens = 0.0
     requests = 0
-    owed = TokenBucket(PER_S, PER_S, PER_S, 0)
-    lost = due = 0.0
-    messages, waited = way.messages, way.waited
+    entitlement = TokenBucket(PER_S, PER_S, PER_S, 0)
+    refused = entitled = 0.0
+    messages, waited = strategy.messages, strategy.waited
     for step in range(SECONDS * 1000 // STEP_MS):
         now_ms = step * STEP_MS
-        first = (now_ms // 1_000 * clients) % way.gateways if moves else 0
-        if loses and now_ms % 5_000 == 4_000:
-            way.lose_keeper()
+        first = (now_ms // 1_000 * used_gateways) % strategy.gateways if moves else 0
+        if changes_leader and now_ms % 5_000 == 4_000:
+            strategy.replace_leader()
         tokens += load * PER_S * STEP_MS / 1000
         while tokens > 0:
-            units = float(REASSESSMENT if rng.random() < 0.02 else DRAFT)
+            units = float(LARGE_REQUEST_TOKENS if rng.random() < 0.02 else SMALL_REQUEST_TOKENS)
             tokens -= units
             sent += units
             requests += 1
-            within = owed.level(now_ms) >= units
-            if within:
-                owed.take(units, now_ms)
-                due += units
-            if await way.request((first + rng.randrange(clients)) % way.gateways, units):
+            is_entitled = entitlement.level(now_ms) >= units
+            if is_entitled:
+                entitlement.take(units, now_ms)
+                entitled += units
+            if await strategy.request(
+                (first + rng.randrange(used_gateways)) % strategy.gateways, units
+            ):
                 passed.append((now_ms, units))
-            elif within:
-                lost += units
-        way.step()
-    most = _most(passed) / ((PER_S * 8 + PER_S) * 1.1 + 110_000)
-    per_gateway = (way.messages - messages) / SECONDS / way.gateways
+            elif is_entitled:
+                refused += units
+        strategy.step()
+    most = _max_in_window(passed) / ((PER_S * 8 + PER_S) * 1.1 + 110_000)
+    per_gateway = (strategy.messages - messages) / SECONDS / strategy.gateways
     total = sum(units for _, units in passed)
     return (
-        f"{lost / due:8.3f} {min(total / due, 9):8.3f} {most:8.3f} {per_gateway:10.2f} "
-        f"{(way.waited - waited) / requests:8.3f}"
+        f"{refused / entitled:8.3f} {min(total / entitled, 9):8.3f} {most:8.3f} "
+        f"{per_gateway:10.2f} {(strategy.waited - waited) / requests:8.3f}"
     )
 
 
-def _most(passed: list[tuple[int, float]]) -> float:
+def _max_in_window(passed: list[tuple[int, float]]) -> float:
+    """Return the most units admitted in any window of the bounds."""
     window: deque[tuple[int, float]] = deque()
     held = most = 0.0
     for at_ms, units in passed:
@@ -227,14 +259,18 @@
 
 
 def main() -> None:
-    """Print a line for each way and load."""
+    """Print a row for each strategy and load."""
     logging.disable(logging.WARNING)
     for gateways in (81, 410):
         print(f"{gateways} gateways; refused: of what is owed; passed: of what is owed")
         print(f"{'':38s} refused   passed  of bound messages/s   waited")
-        for load, (times, clients, moves, loses) in LOADS.items():
-            for name, kind in WAYS.items():
-                line = asyncio.run(_play(kind(gateways), times, clients, moves, loses))
+        for load, (load_ratio, used_gateways, moves, changes_leader) in LOADS.items():
+            for name, strategy_type in STRATEGIES.items():
+                line = asyncio.run(
+                    _simulate(
+                        strategy_type(gateways), load_ratio, used_gateways, moves, changes_leader
+                    )
+                )
                 print(f"{load:28s} {name:8s} {line}", flush=True)
 
 
--- a/benchmarks/sample_state.py
+++ b/benchmarks/sample_state.py
@@ -1,4 +1,4 @@
-"""Configurations and claims of a given size, for the slopes."""
+"""Configurations and claims of a given size, for the benchmarks of slopes."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 
 
 def base_layer(adapters: int, sites: int = 1) -> dict[str, Any]:
+    """Return a base layer with `adapters` adapters, each with two versions."""
     rng = random.Random(1)
     return {
         "sites": {SITE if number == 0 else f"{SITE}-{number}": {} for number in range(sites)},
@@ -31,18 +32,21 @@
 
 
 def change(number: int, patch: Any, revision: int) -> bytes:
+    """Return the encoded command for a change of the base layer."""
     return COMMAND_CODEC.encode(
         ChangeConfig(f"change {number}", "ana", revision, json.dumps({BASE_LAYER: patch}), "", 0)
     )
 
 
 def state_of(adapters: int, sites: int = 1) -> ControlState:
+    """Return a state whose configuration has `adapters` adapters and `sites` data centres."""
     state = ControlState()
     state.apply(1, change(0, base_layer(adapters, sites), 0))
     return state
 
 
 def claim(number: int) -> bytes:
+    """Return the encoded command that takes a claim; each number is another claim."""
     attempt = f"{number:032x}"
     take = TakeClaim("contratista", attempt, "ab" * 32, attempt, "entry-1#abcdef", 86_400_000)
     return COMMAND_CODEC.encode(take)
--- a/benchmarks/signals.py
+++ b/benchmarks/signals.py
@@ -1,7 +1,12 @@
-"""Real programs before upstreams that ask for time or leave: what they get, what callers get.
+"""Runs the real programs with upstreams that ask for a backoff or leave.
 
-`python -m benchmarks.signals --seeds 5 6` plays three gateways, three controllers, three engines
-and two plain upstreams with fourteen callers, and prints a row a play.
+`python -m benchmarks.signals --seeds 5 6` runs three gateways, three controllers, three engines and
+two plain upstreams with fourteen callers, and prints a row for each scenario and seed.
+
+Columns: scenario; seed; fraction of calls served during the signals and afterwards; most requests
+that one gateway sent during one backoff, and after one upstream's announcement that it leaves;
+calls refused as not run; their median latency in ms; the retry times that callers got in s; calls
+without an answer.
 """
 
 from __future__ import annotations
@@ -18,15 +23,15 @@
 from chestnutfall.tests.office_scenario import OfficeScenario, request_backoff
 
 BACKOFF_S = 3.0
-ASKED_FOR_S = 5.5
-LEFT_S = 6.0
+ASKING_S = 5.5
+LEAVING_S = 6.0
 AFTER_S = 2.0
-KILL_EVERY_S = 0.5
+RESTART_INTERVAL_S = 0.5
 
 
 @dataclass(slots=True)
-class Spans:
-    """Moments of a play, in seconds: upstreams speak from `began` to `ended`."""
+class SignalTimes:
+    """Monotonic clock times between which upstreams send signals."""
 
     began_s: float = 0.0
     ended_s: float = 0.0
@@ -35,119 +40,124 @@
 Choose = Callable[[OfficeScenario], list[StandInUpstream]]
 
 
-def one_of_each(play: OfficeScenario) -> list[StandInUpstream]:
-    """An engine and a plain upstream."""
+def engine_and_plain(play: OfficeScenario) -> list[StandInUpstream]:
+    """Choose an engine and a plain upstream."""
     return list(play.engine_and_plain())
 
 
-def everyone(play: OfficeScenario) -> list[StandInUpstream]:
-    """All upstreams."""
+def all_upstreams(play: OfficeScenario) -> list[StandInUpstream]:
+    """Choose all upstreams."""
     return play.office.upstreams
 
 
-async def nothing() -> None:
-    """Do nothing beside the play."""
+async def no_restarts() -> None:
+    """Do nothing."""
 
 
 async def restart_controllers(play: OfficeScenario) -> None:
-    """Kill and start the controllers in turn."""
+    """Kill and restart the controllers one after another."""
     for one in play.office.controllers:
         await one.kill()
         await one.start(False)
-        await asyncio.sleep(KILL_EVERY_S)
+        await asyncio.sleep(RESTART_INTERVAL_S)
 
 
 def backing_off(
-    choose: Choose, spans: Spans, restarts: bool = False
+    choose: Choose, times: SignalTimes, restarts: bool = False
 ) -> Callable[[OfficeScenario], Awaitable[None]]:
-    """Let some ask for time, take work again, and serve the time that is left."""
+    """Return a script in which upstreams ask for backoffs and then accept requests again.
+
+    It goes on until the last backoff has ended and `AFTER_S` more have passed.
+    """
 
     async def script(play: OfficeScenario) -> None:
-        spans.began_s = time.monotonic()
-        beside = asyncio.ensure_future(restart_controllers(play) if restarts else nothing())
-        await request_backoff(choose(play), f"{BACKOFF_S:g}", ASKED_FOR_S)
-        await beside
-        spans.ended_s = time.monotonic()
+        times.began_s = time.monotonic()
+        restarting = asyncio.ensure_future(restart_controllers(play) if restarts else no_restarts())
+        await request_backoff(choose(play), f"{BACKOFF_S:g}", ASKING_S)
+        await restarting
+        times.ended_s = time.monotonic()
         await asyncio.sleep(BACKOFF_S + AFTER_S)
 
     return script
 
 
 def leaving(
-    choose: Choose, spans: Spans, restarts: bool = False
+    choose: Choose, times: SignalTimes, restarts: bool = False
 ) -> Callable[[OfficeScenario], Awaitable[None]]:
-    """Let some say that they leave, and go on to answer."""
+    """Return a script in which upstreams signal that they leave but still answer."""
 
     async def script(play: OfficeScenario) -> None:
-        spans.began_s = time.monotonic()
+        times.began_s = time.monotonic()
         for one in choose(play):
             one.leaving = True
         if restarts:
             await restart_controllers(play)
-        await asyncio.sleep(LEFT_S)
-        spans.ended_s = time.monotonic()
+        await asyncio.sleep(LEAVING_S)
+        times.ended_s = time.monotonic()
 
     return script
 
 
-def most(found: list[RequestsAfterSignal]) -> int:
-    """Most requests that one gateway sent in one such time."""
+def max_requests(found: list[RequestsAfterSignal]) -> int:
+    """Return the most requests that one gateway sent in one period that forbade them."""
     return max((one.got for one in found), default=0)
 
 
-def row(name: str, seed: int, play: OfficeScenario, spans: Spans) -> str:
-    """One line of the table."""
-    refused = play.refused(spans.began_s, spans.ended_s)
+def row(name: str, seed: int, play: OfficeScenario, times: SignalTimes) -> str:
+    """Return a row of the table."""
+    refused = play.refused(times.began_s, times.ended_s)
     took_ms = sorted(1000 * seen.took_s for seen in refused)
-    told_s = [seen.retry_after_s or 0.0 for seen in refused]
-    told = f"{min(told_s):.2f} to {max(told_s):.2f}" if told_s else "-"
-    after_s = spans.ended_s + BACKOFF_S
-    silent = sum(one.result.status == 0 for one in play.answers)
+    retry_after_s = [seen.retry_after_s or 0.0 for seen in refused]
+    retry_range = f"{min(retry_after_s):.2f} to {max(retry_after_s):.2f}" if retry_after_s else "-"
+    after_s = times.ended_s + BACKOFF_S
+    unanswered = sum(one.result.status == 0 for one in play.answers)
     cells = (
         name,
         str(seed),
-        f"{play.success_ratio(spans.began_s, spans.ended_s):.3f}",
+        f"{play.success_ratio(times.began_s, times.ended_s):.3f}",
         f"{play.success_ratio(after_s, after_s + AFTER_S):.3f}" if "time" in name else "-",
-        str(most(list(play.requests_in_backoffs()))),
-        str(most(list(play.requests_after_leaving()))),
+        str(max_requests(list(play.requests_in_backoffs()))),
+        str(max_requests(list(play.requests_after_leaving()))),
         str(len(refused)),
         f"{statistics.median(took_ms):.0f}" if took_ms else "-",
-        told,
-        f"{silent} of {len(play.answers)}",
+        retry_range,
+        f"{unanswered} of {len(play.answers)}",
     )
     return f"| {' | '.join(cells)} |"
 
 
-def plays() -> list[tuple[str, Callable[[Spans], Callable[[OfficeScenario], Awaitable[None]]]]]:
-    """All plays by name."""
+def scenarios() -> (
+    list[tuple[str, Callable[[SignalTimes], Callable[[OfficeScenario], Awaitable[None]]]]]
+):
+    """Return the scenarios by name."""
     return [
-        ("one of each asks for time", lambda spans: backing_off(one_of_each, spans)),
-        ("one asks for time, restarts", lambda spans: backing_off(one_of_each, spans, True)),
-        ("all ask for time", lambda spans: backing_off(everyone, spans)),
-        ("one of each leaves", lambda spans: leaving(one_of_each, spans)),
-        ("all leave", lambda spans: leaving(everyone, spans)),
-        ("one leaves, restarts", lambda spans: leaving(one_of_each, spans, restarts=True)),
+        ("one of each asks for time", lambda times: backing_off(engine_and_plain, times)),
+        ("one asks for time, restarts", lambda times: backing_off(engine_and_plain, times, True)),
+        ("all ask for time", lambda times: backing_off(all_upstreams, times)),
+        ("one of each leaves", lambda times: leaving(engine_and_plain, times)),
+        ("all leave", lambda times: leaving(all_upstreams, times)),
+        ("one leaves, restarts", lambda times: leaving(engine_and_plain, times, restarts=True)),
     ]
 
 
 def main() -> None:
-    """Play what is chosen."""
+    """Run the chosen scenarios."""
     cli = argparse.ArgumentParser(description=__doc__)
     cli.add_argument("--seeds", type=int, nargs="+", default=[5])
     cli.add_argument("--play", default="", help="a part of the names of plays")
     args = cli.parse_args()
     print("| play | seed | served | after | in a time asked for | after leaving | refused | in ms |"
           " told s | no answer |")  # fmt: skip
-    for name, make in plays():
+    for name, make_script in scenarios():
         if args.play not in name:
             continue
         for seed in args.seeds:
-            play, spans = OfficeScenario(seed), Spans()
-            asyncio.run(play.run(make(spans)))
-            print(row(name, seed, play, spans), flush=True)
+            play, times = OfficeScenario(seed), SignalTimes()
+            asyncio.run(play.run(make_script(times)))
+            print(row(name, seed, play, times), flush=True)
             for one in play.answers:
                 if one.result.status == 0:
-                    at_s = one.sent_s - spans.began_s
+                    at_s = one.sent_s - times.began_s
                     print(
                         f"no answer: sent {at_s:.2f} s, took {one.result.took_s:.2f} s:"
                         f" {one.result}"
--- a/benchmarks/slope.py
+++ b/benchmarks/slope.py
@@ -10,14 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """Cost per unit, from a least-squares line.
+    """Cost per unit, as the slope of a least-squares line through measured points.
 
     Attributes
     ----------
+    what, unit : str
+        What was measured, and the unit of its values.
     per_unit, fixed : float
         Slope and intercept.
     residual : float
-        Largest distance of a point from the line, as a part of the largest point.
+        Largest distance of a point from the line, as a fraction of the largest value.
     """
 
     what: str
@@ -28,7 +30,7 @@
     points: tuple[tuple[int, float], ...]
 
     def row(self) -> str:
-        """One row of a Markdown table."""
+        """Return a row of a Markdown table."""
         points = ", ".join(f"{size:,}: {value:,.4g}" for size, value in self.points)
         return (
             f"| {self.what} | {self.per_unit:,.4g} {self.unit} | {self.fixed:,.4g} "
@@ -41,6 +43,6 @@
     sizes = np.array([size for size, _ in points], dtype=float)
     values = np.array([value for _, value in points])
     per_unit, fixed = np.polyfit(sizes, values, 1)
-    off = np.abs(values - (per_unit * sizes + fixed)).max()
-    residual = float(off / max(abs(values).max(), 1e-12))
+    max_distance = np.abs(values - (per_unit * sizes + fixed)).max()
+    residual = float(max_distance / max(abs(values).max(), 1e-12))
     return Slope(what, unit, float(per_unit), float(fixed), residual, tuple(points))
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,8 +1,8 @@
-"""The cost of each message and each thing kept, at several sizes.
+"""Cost of each message, change and stored object, as slopes over several sizes.
 
-`python -m benchmarks.slopes` prints the table that docs/CAPACITY.md is worked out from. Messages
-are measured with both ends in one process, so their processor time is that of both sides. Memory is
-the growth of a fresh process.
+`python -m benchmarks.slopes` prints the table from which docs/CAPACITY.md is calculated. Messages
+are measured with both ends in one process, so their processor time is that of both ends. Memory is
+the growth of a new process.
 """
 
 from __future__ import annotations
--- a/benchmarks/sparse.py
+++ b/benchmarks/sparse.py
@@ -1,8 +1,8 @@
-"""What a call costs that comes alone.
+"""Processor time of calls that are far apart.
 
-`python -m benchmarks.sparse` sends heartbeats over gRPC, and posts of the same size over HTTP, a
-few a second to another process, and gives the caller's processor time for each. The slopes of
-`benchmarks.slopes` are of calls one behind the other, which find threads and caches warm.
+`python -m benchmarks.sparse` sends heartbeats over gRPC, and POST requests of the same size over
+HTTP, a few per second to another process, and prints the sender's processor time for each. Calls in
+quick succession, as in `benchmarks.slopes`, cost less since threads and caches are warm.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from .meter import cpu_us
 
 SECONDS = 5.0
-STARTS_S = 3.0
+SERVER_START_S = 3.0
 RATES = (2.5, 20.0, 200.0)
 HEARTBEAT = Heartbeat(
     "entry-1#ab", "10.0.0.1:1", "nodo", 1, "ab" * 32, None, ("engine-1",), False, "1.1"
@@ -53,6 +53,7 @@
 
 
 async def _cost_us(call: Callable[[], Awaitable[Any]], per_s: float) -> float:
+    """Return the mean processor time of a call at a rate."""
     await call()
     count = max(int(SECONDS * per_s), 1)
     before = cpu_us()
@@ -63,7 +64,7 @@
 
 
 async def _measure(grpc_address: str, http_address: str) -> None:
-    await asyncio.sleep(STARTS_S)
+    await asyncio.sleep(SERVER_START_S)
     print(
         "| calls a second | heartbeat over gRPC, µs each | post over HTTP, µs each |\n|---|---|---|"
     )
@@ -84,7 +85,7 @@
 
 
 def main() -> None:
-    """Start the other process, measure, stop it."""
+    """Start the server in another process, measure, and stop it."""
     if len(sys.argv) == 3:
         uvloop.run(_serve(sys.argv[1], sys.argv[2]))
         return
--- a/benchmarks/sweep_plot.py
+++ b/benchmarks/sweep_plot.py
@@ -1,8 +1,8 @@
-"""Draws how each role's load grows with hosts, from journal entries of sweeps.
+"""Draws how the load of each role grows with the number of hosts, from journal entries of sweeps.
 
 `python -m benchmarks.sweep_plot journal/A.json journal/B.json --out docs/figures` writes one SVG
-for each deployment: a small picture a figure, the middle of all hosts and the busiest one, both
-axes logarithmic, with a line of power one for the eye.
+for each deployment. It has a diagram for each row of the sweep's table, with the middle and the
+busiest host. Both axes are logarithmic; a dotted line shows growth in proportion to the hosts.
 """
 
 from __future__ import annotations
@@ -18,23 +18,24 @@
 
 from .sweep_table import SweepRow, SweepTable, read_table
 
-# Letters as text, and the same names in each run: small files that change only with the figures.
+# Text stays text and element ids are the same in each run, so that the files are small and change
+# only with the data.
 plt.rcParams["svg.fonttype"] = "none"
 plt.rcParams["svg.hashsalt"] = "sweep"
 COLUMNS = 4
 INCHES = (3.2, 2.4)
-LEAST = 0.1
-"""Figures of zero have no place on a logarithmic axis."""
+MIN_PLOTTED = 0.1
+"""Smaller values are drawn at this one, since a logarithmic axis can't show zero."""
 
 
 def draw(table: SweepTable, folder: Path) -> Path:
-    """Draw one deployment; the file that was written."""
-    lines = -(-len(table.rows) // COLUMNS)
-    size = (INCHES[0] * COLUMNS, INCHES[1] * lines)
-    figure, places = plt.subplots(lines, COLUMNS, figsize=size, squeeze=False)
-    for axes in places.flat[len(table.rows) :]:
+    """Draw the sweep of one deployment and return the path of the SVG."""
+    grid_rows = -(-len(table.rows) // COLUMNS)
+    size = (INCHES[0] * COLUMNS, INCHES[1] * grid_rows)
+    figure, grid = plt.subplots(grid_rows, COLUMNS, figsize=size, squeeze=False)
+    for axes in grid.flat[len(table.rows) :]:
         axes.set_visible(False)
-    for axes, row in zip(places.flat, table.rows, strict=False):
+    for axes, row in zip(grid.flat, table.rows, strict=False):
         _draw_row(axes, row)
     figure.suptitle(f"{table.site}, {table.commit}: middle and busiest, by hosts")
     figure.tight_layout()
@@ -46,11 +47,11 @@
 
 
 def _draw_row(axes: Axes, row: SweepRow) -> None:
-    busiest = [max(one, LEAST) for one in row.busiest]
-    axes.plot(row.hosts, [max(one, LEAST) for one in row.middle], "o-", label="middle")
+    busiest = [max(one, MIN_PLOTTED) for one in row.busiest]
+    axes.plot(row.hosts, [max(one, MIN_PLOTTED) for one in row.middle], "o-", label="middle")
     axes.plot(row.hosts, busiest, "s-", label="busiest")
-    line = [busiest[0] * hosts / row.hosts[0] for hosts in row.hosts]
-    axes.plot(row.hosts, line, ":", color="grey", label="power 1")
+    proportional = [busiest[0] * hosts / row.hosts[0] for hosts in row.hosts]
+    axes.plot(row.hosts, proportional, ":", color="grey", label="power 1")
     axes.set_xscale("log")
     axes.set_yscale("log")
     axes.set_xticks(row.hosts, [str(hosts) for hosts in row.hosts])
@@ -60,7 +61,7 @@
 
 
 def main() -> None:
-    """Draw all entries that are named."""
+    """Draw each journal entry named on the command line."""
     cli = argparse.ArgumentParser(description=__doc__)
     cli.add_argument("entries", type=Path, nargs="+")
     cli.add_argument("--out", type=Path, default=Path("docs/figures"))
--- a/benchmarks/sweep_table.py
+++ b/benchmarks/sweep_table.py
@@ -1,4 +1,4 @@
-"""The table of a sweep over numbers of hosts, as a journal entry holds it."""
+"""Table of a sweep over numbers of hosts, parsed from a journal entry."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SweepRow:
-    """One figure at each size.
+    """One measured value at each number of hosts.
 
     Attributes
     ----------
     what : str
-        Role and figure, with its unit.
+        Role and measured value, with its unit.
     hosts : tuple of int
-        Sizes that were played.
+        Numbers of hosts that were measured.
     middle, busiest : tuple of float
-        The middle of all hosts and the busiest one, or the usual and the longest time.
+        Value of the middle host and of the busiest one at each size; for durations, the usual
+        and the longest one.
     """
 
     what: str
@@ -35,7 +36,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SweepTable:
-    """What a sweep of one deployment showed, on one commit."""
+    """Result of the sweep of one deployment.
+
+    Attributes
+    ----------
+    site : str
+        Name of the deployment.
+    commit : str
+        First seven digits of the commit that was measured.
+    """
 
     site: str
     commit: str
@@ -43,24 +52,28 @@
 
 
 def read_table(path: Path) -> SweepTable:
-    """Read a journal entry.
+    """Read the table from a journal entry.
 
     Raises
     ------
     ValueError
-        When it is not the entry of a sweep that ended.
+        When the entry is not that of a completed sweep.
     """
     entry = json.loads(path.read_text("utf-8"))
     if entry.get("cmd") != "sweep":
-        raise ValueError(f"{path}: the entry of a {entry.get('cmd')!r}; a 'sweep' is needed")
+        raise ValueError(f"{path}: entry of a {entry.get('cmd')!r} run, expected 'sweep'")
     rows = tuple(rows_of(entry.get("digest") or ""))
     if not rows:
-        raise ValueError(f"{path}: no table; the sweep did not end")
+        raise ValueError(f"{path}: no table, since the sweep did not complete")
     return SweepTable(entry["site"], entry["head"][:7], rows)
 
 
 def rows_of(digest: str) -> Iterator[SweepRow]:
-    """Yield the rows of the table in a sweep's text."""
+    """Yield the rows of the table in the printed output of a sweep.
+
+    The first line of the table holds the numbers of hosts. Lines without a pair of values for
+    each of them are skipped.
+    """
     _, found, table = digest.partition(_HEAD)
     lines = table.splitlines()[1:] if found else []
     hosts: tuple[int, ...] = ()
