--- a/demo/adapter.py
+++ b/demo/adapter.py
@@ -1,4 +1,7 @@
-"""Creates an adapter with two versions by the operators' tool. Usage: adapter.py FOLDER"""
+"""Creates an adapter with two versions by means of `chestnutfallctl`.
+
+Usage: python demo/adapter.py FOLDER, with the folder that make_office.py wrote.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 def main() -> int:
-    """Create version 1, then add version 2."""
+    """Create version 1, then add version 2; return the first exit code that is not 0."""
     folder = Path(sys.argv[1])
     ctl = [str(Path(sys.executable).parent / "chestnutfallctl"), "--settings"]
     ctl.append(str(folder / "operator.json"))
--- a/demo/caller.py
+++ b/demo/caller.py
@@ -1,4 +1,7 @@
-"""Sends requests as a caller and prints the answers and one trace. Usage: caller.py FOLDER"""
+"""Sends requests as a caller, and prints the answers and the spans of one trace.
+
+Usage: python demo/caller.py FOLDER, with the folder that make_office.py wrote.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,13 @@
 
 
 def main() -> int:
-    """Ask through several gateways for both versions, streamed and not."""
+    """Ask every gateway for one of two versions, then stream an answer and call a plain service.
+
+    Returns
+    -------
+    int
+        Exit code: 0 if every answer came from the requested version and the trace was written.
+    """
     folder = Path(sys.argv[1])
     key = (folder / "keys/caller").read_text(encoding="utf-8").strip()
     messages = [{"role": "user", "content": "Estimate a slate roof of 80 square metres."}]
@@ -48,6 +57,7 @@
 
 
 def _print_trace(path: Path, request_id: str) -> int:
+    """Wait for the spans of a request and print them; return 1 if they are not written in time."""
     end = time.monotonic() + TRACE_WAIT_S
     while time.monotonic() < end:
         spans = [json.loads(line) for line in path.read_text("utf-8").splitlines()]
--- a/demo/http_get.py
+++ b/demo/http_get.py
@@ -1,4 +1,4 @@
-"""Exit 0 if the URL answers 200. Usage: python demo/http_get.py URL"""
+"""Exits with 0 if a URL answers with status 200. Usage: python demo/http_get.py URL"""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def main() -> int:
-    """Ask once."""
+    """Send one GET request and return the exit code."""
     opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
     try:
         with opener.open(sys.argv[1], timeout=1) as resp:
--- a/demo/make_office.py
+++ b/demo/make_office.py
@@ -1,4 +1,4 @@
-"""Writes the settings of a small office on loopback below a folder.
+"""Writes the keys, settings and configuration of a small deployment on loopback addresses.
 
 Usage: python demo/make_office.py FOLDER
 """
@@ -25,7 +25,7 @@
 
 
 def _key(folder: Path, name: str) -> str:
-    """Make a key file and return the key's hash."""
+    """Write a key file with a new key and return the SHA-256 of the key."""
     key = secrets.token_hex(16)
     path = folder / "keys" / name
     path.parent.mkdir(parents=True, exist_ok=True)
@@ -39,7 +39,7 @@
 
 
 def main() -> None:
-    """Write every file of the office."""
+    """Write every file of the deployment."""
     folder = Path(sys.argv[1])
     hashes = {name: _key(folder, name) for name in ("admin", "caller", "engines", "permisos")}
     controllers = [_controller_address(n) for n in range(1, CONTROLLERS + 1)]
