--- a/chestnutfall/clock/clock.py
+++ b/chestnutfall/clock/clock.py
@@ -1,4 +1,4 @@
-"""Interface to the clock, which is passed to every part that needs time."""
+"""Interface to the clock, which is passed to every component that needs time."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 class Clock(ABC):
     """Monotonic time and waiting, in milliseconds.
 
-    Parts get a clock instead of reading time themselves, so that tests can replace it.
+    Components get a clock instead of reading time themselves, so that tests can replace it.
     """
 
     @abstractmethod
--- a/chestnutfall/control/caller_quotas.py
+++ b/chestnutfall/control/caller_quotas.py
@@ -38,6 +38,7 @@
                     ledger.charge(use.organisation, use.units)
             case WasShort(organisations):
                 ledger.note_short(organisations)
+        # Updates which callers are short; `whole_news` returns the state of the last update.
         ledger.news()
         return ledger.whole_news()
 
--- a/chestnutfall/control/claim_table.py
+++ b/chestnutfall/control/claim_table.py
@@ -27,8 +27,8 @@
         """Yield caller, idempotency key and claim of each entry."""
         return ((caller, key, claim) for (caller, key), claim in self._claims.items())
 
-    def __contains__(self, place: object) -> bool:
-        return place in self._claims
+    def __contains__(self, caller_and_key: object) -> bool:
+        return caller_and_key in self._claims
 
     def take(self, take: TakeClaim, time_ms: int) -> ClaimTaken | ClaimHeld:
         """Grant the claim to an attempt unless another attempt holds it.
@@ -53,19 +53,19 @@
 
         Does nothing if another attempt holds the claim.
         """
-        place = (end.caller, end.key)
-        claim = self._claims.get(place)
+        caller_and_key = (end.caller, end.key)
+        claim = self._claims.get(caller_and_key)
         if claim is None or claim.attempt_id != end.attempt_id:
             return
         if end.status is None:
-            del self._claims[place]
+            del self._claims[caller_and_key]
             return
-        self._claims[place] = Claim(
+        self._claims[caller_and_key] = Claim(
             claim.attempt_id, claim.session, claim.body_digest, end.status, claim.expires_ms
         )
 
     def expire(self, time_ms: int) -> None:
         """Drop the claims that have expired at log time `time_ms`."""
         expired = [at for at, claim in self._claims.items() if claim.expires_ms <= time_ms]
-        for place in expired:
-            del self._claims[place]
+        for caller_and_key in expired:
+            del self._claims[caller_and_key]
--- a/chestnutfall/control/control_service.py
+++ b/chestnutfall/control/control_service.py
@@ -46,7 +46,7 @@
 from .sessions import SESSION_LEASE_MS
 
 MAX_DELTAS = 100
-"""A gateway that is further behind gets the whole configuration."""
+"""Most revisions sent as deltas; a gateway that is further behind gets the whole configuration."""
 MAX_CLAIM_KEY_CHARS = 512
 
 
--- a/chestnutfall/control/control_state.py
+++ b/chestnutfall/control/control_state.py
@@ -103,9 +103,9 @@
 
     def __init__(self) -> None:
         self.on_apply: Callable[[Command], None] = lambda command: None
-        self._take(_Dump())
+        self._load_dump(_Dump())
 
-    def _take(self, dump: _Dump) -> None:
+    def _load_dump(self, dump: _Dump) -> None:
         self.layers = LayeredConfig(dump.layers)
         self.sites = {site: SiteConfig(site, self.layers) for site in self.layers.sites}
         self.audit = dump.audit
@@ -122,7 +122,7 @@
         self.crashes = dump.crashes
 
     def restore(self, data: bytes) -> None:
-        self._take(msgspec.msgpack.decode(data, type=_Dump) if data else _Dump())
+        self._load_dump(msgspec.msgpack.decode(data, type=_Dump) if data else _Dump())
 
     def dump(self) -> bytes:
         owners = list(self.owners.values())
--- a/chestnutfall/control/crash_ledger.py
+++ b/chestnutfall/control/crash_ledger.py
@@ -16,7 +16,7 @@
 upstreams. Each further end takes an upstream from all other callers for seconds."""
 ENDS_TO_QUARANTINE_TIED = 5
 """Waiting longer does not separate two requests that share every end and were never answered. From
-this count on, both together are worth less than the next upstream."""
+this count on, refusing both costs less than losing another upstream."""
 ENDS_TO_WATCH = 2
 """One more end may quarantine the request, so from here on gateways report each complete answer to
 it."""
@@ -34,7 +34,7 @@
 MAX_WATCHED = 256
 """Gateways receive the whole lists: under 50 KB, and usually a few entries."""
 MAX_OFFENDERS = 4_096
-"""Kept after the quarantine ended; about 200 bytes each."""
+"""Requests whose `offences` are kept after their quarantine; about 200 bytes each."""
 
 
 @dataclass(slots=True)
--- a/chestnutfall/control/owner_plan.py
+++ b/chestnutfall/control/owner_plan.py
@@ -50,6 +50,7 @@
 def _kept(
     engines: list[str], present: Mapping[str, str], quota: Mapping[str, int]
 ) -> Iterator[tuple[str, str]]:
+    """Yield the engines that stay with their owner, at most `quota` per owner, and that owner."""
     left = dict(quota)
     for engine in engines:
         owner = present.get(engine, "")
--- a/chestnutfall/control/upstream_roster.py
+++ b/chestnutfall/control/upstream_roster.py
@@ -48,7 +48,8 @@
         for earlier in self._incarnations(record.announced_name):
             if earlier.started_ms < record.started_ms:
                 # The restarted engine lost all adapters that the earlier incarnation held. Work for
-                # that one would be sent to the right address and refused there.
+                # that incarnation would reach the restarted engine at the same address, which
+                # refuses it.
                 self._add_tombstone(earlier.instance)
                 self.forget(earlier.instance)
         known = self.records.get(record.instance)
@@ -83,9 +84,9 @@
         record = self.records.pop(instance, None)
         if record is None:
             return
-        lives = self._by_name[record.announced_name]
-        lives.discard(instance)
-        if not lives:
+        instances = self._by_name[record.announced_name]
+        instances.discard(instance)
+        if not instances:
             del self._by_name[record.announced_name]
 
     def _add_tombstone(self, instance: str) -> None:
--- a/chestnutfall/coordination/answer_timer.py
+++ b/chestnutfall/coordination/answer_timer.py
@@ -9,8 +9,8 @@
 AVERAGE_WEIGHT = 0.1
 """The average answer time covers about ten orders."""
 MIN_TIMEOUT_MS = 25.0
-"""After four times the average, and longer than a pause of either process, no answer is expected
-any more. Sending an order again is harmless, but a longer wait holds up all loads of the engine."""
+"""Longer than a pause of either process, so no answer is expected any more after this time. Sending
+an order again is harmless, but a longer wait holds up all loads of the engine."""
 UNANSWERED_FACTOR = 1.5
 """A missing answer counts as this many average ones. The timeout still adapts to an engine that
 becomes slower, and if half of the answers are lost the average stays below three times the usual
--- a/chestnutfall/coordination/backoff_coordinator.py
+++ b/chestnutfall/coordination/backoff_coordinator.py
@@ -23,7 +23,7 @@
 class BackoffCoordinator:
     """Collects backoffs that gateways received, and sends those of plain upstreams to all gateways.
 
-    Backoffs of engines are not sent: the leader uses the same book when it places requests on
+    Backoffs of engines are not sent: the leader uses the same registry when it places requests on
     engines.
     """
 
--- a/chestnutfall/coordination/controller_runner.py
+++ b/chestnutfall/coordination/controller_runner.py
@@ -40,7 +40,7 @@
 """Controllers are some ms apart and use less than a tenth of a core, so five missed heartbeats
 indicate a failed leader. Requests for adapters that no gateway remembers wait that long for the
 next leader."""
-SNAPSHOT_EVERY = 500
+SNAPSHOT_EVERY_ENTRIES = 500
 KEEP_ENTRIES = 200
 """With documents of about 30 KB each, 700 entries stay below 25 MB of memory and disk."""
 
@@ -92,7 +92,10 @@
         self.relay = CurrentRelay()
 
     def use_settings(self, settings: FleetSettings) -> None:
-        """Apply changed settings; those of a running replica, except the first addresses, stay."""
+        """Use changed settings from the next restart of the replica on.
+
+        Only the addresses in `controllers` apply at once, to the requests of the joiner.
+        """
         self._settings = settings
         if self._joiner is not None:
             self._joiner.first_addresses = settings.controllers
@@ -106,8 +109,8 @@
         self._metrics.gauge("commit_index", self._replica.commit_index)
         self._metrics.gauge("members", len(self._replica.members))
         for codec in (FLEET_CODEC, RELAY_CODEC, CONSENSUS_CODEC):
-            for figure, value in codec.traffic.counters():
-                self._metrics.total(figure, value)
+            for name, value in codec.traffic.counters():
+                self._metrics.total(name, value)
 
     async def run(self, stop: asyncio.Event) -> None:
         """Run the replica until `stop` is set."""
@@ -158,7 +161,7 @@
             clock,
             random.Random(),
             TIMING,
-            SNAPSHOT_EVERY,
+            SNAPSHOT_EVERY_ENTRIES,
             KEEP_ENTRIES,
         )
         replica.start(self._process_start_ms)
--- a/chestnutfall/coordination/heartbeat_batch.py
+++ b/chestnutfall/coordination/heartbeat_batch.py
@@ -39,9 +39,9 @@
         controller without contact to the leader must not answer either, because the heartbeat would
         be lost although its upstream got an acknowledgement.
         """
-        is_in_touch = self._clock.now_ms() < self._accepted_ms + LEADER_CONTACT_MS
+        has_leader_contact = self._clock.now_ms() < self._accepted_ms + LEADER_CONTACT_MS
         is_known = roster.records.get(msg.record.instance) == msg.record
-        if not is_in_touch or not is_known or msg.record.leaving:
+        if not has_leader_contact or not is_known or msg.record.leaving:
             return False
         if len(self._waiting) >= MAX_WAITING:
             return False
--- a/chestnutfall/coordination/holdings_diff.py
+++ b/chestnutfall/coordination/holdings_diff.py
@@ -20,7 +20,7 @@
     ----------
     whole : bool
         Whether the message replaces all holdings that were sent before.
-    added, dropped : iterable of Held
+    added, dropped : iterable of ReadyAdapter
         Adapters; one that is in both counts as added.
     """
     grouped: dict[tuple[str, str], tuple[dict[str, int], list[str]]] = {}
--- a/chestnutfall/coordination/repeat_pool.py
+++ b/chestnutfall/coordination/repeat_pool.py
@@ -6,8 +6,8 @@
 from ..settings.repeat_bounds import RepeatBounds
 
 POOL_SHARE = 0.5
-"""Share of the slack that the leader grants. Gateways divide the rest among themselves, so that
-each of them can repeat requests while there is no leader."""
+"""Share of `RepeatBounds.slack` that the leader grants. Gateways divide the rest among
+themselves, so that each of them can repeat requests while there is no leader."""
 SAFETY_FACTOR = 0.7
 """Part of the bound that is used. A repeat arrives some time after it was granted, in a window that
 may contain more of them, and changes of the number of gateways are known late."""
--- a/chestnutfall/coordination/upstream_tracker.py
+++ b/chestnutfall/coordination/upstream_tracker.py
@@ -87,6 +87,7 @@
         self._wake()
 
     def _update_now(self) -> None:
+        """Schedule an update without delay."""
         self._due_ms = self._clock.now_ms()
         self._wake()
 
@@ -95,12 +96,12 @@
         self._due_ms = self._updated_ms + MAX_UPDATE_INTERVAL_MS
         # An upstream of a service that is not configured must not take the address of one that
         # serves.
-        named = (
+        configured = (
             record
             for record in self._state.roster.records.values()
             if self._is_configured_service(record.service)
         )
-        serving = sorted(self._liveness.serving(named), key=lambda one: one.instance)
+        serving = sorted(self._liveness.serving(configured), key=lambda one: one.instance)
         self._serving = {one.instance for one in serving}
         self._on_serving(serving)
 
--- a/chestnutfall/coordination/upstream_views.py
+++ b/chestnutfall/coordination/upstream_views.py
@@ -12,7 +12,7 @@
 
 RECORDS_PER_PART = 500
 """About 15 KB compressed: a link of 5 Mbit/s sends this in 25 ms, and a pulse fits in between."""
-MAX_PLAIN_RECORDS = 16
+MAX_UNCOMPRESSED_RECORDS = 16
 """Up to this many records are not worth the time that compression takes."""
 REBASE_CHANGES = 64
 """A gateway that connects gets at most this many changes, and records in them, after the whole
@@ -26,7 +26,7 @@
 
 def compress_part(records: Iterable[UpstreamRecord], begins: bool, complete: bool) -> UpstreamsPart:
     """Build a message with a part of the whole list."""
-    return UpstreamsPart(_packed(records), begins, complete)
+    return UpstreamsPart(_compress_records(records), begins, complete)
 
 
 def part_records(part: UpstreamsPart) -> tuple[UpstreamRecord, ...]:
@@ -35,7 +35,7 @@
 
 
 class UpstreamViews:
-    """The list that all gateways hold, and the messages that bring a new gateway to it.
+    """The list that all gateways hold, and the messages that send it to a new gateway.
 
     If the whole list were sent at each change, traffic would grow with gateways times upstreams
     times changes. With a hundred gateways and a thousand upstreams it would fill the links: pulses
@@ -45,6 +45,7 @@
     def __init__(self) -> None:
         self._held: dict[str, UpstreamRecord] = {}
         self._parts: tuple[UpstreamsPart, ...] = (compress_part((), True, True),)
+        # Changes after `_parts` was built, and the number of records that they add.
         self._since: list[UpstreamsChange] = []
         self._records_since = 0
 
@@ -82,9 +83,9 @@
 
 
 def _change(added: tuple[UpstreamRecord, ...], dropped: tuple[str, ...]) -> UpstreamsChange:
-    if len(added) <= MAX_PLAIN_RECORDS:
+    if len(added) <= MAX_UNCOMPRESSED_RECORDS:
         return UpstreamsChange(added, dropped)
-    return UpstreamsChange((), dropped, _packed(added))
+    return UpstreamsChange((), dropped, _compress_records(added))
 
 
 def added_records(change: UpstreamsChange) -> tuple[UpstreamRecord, ...]:
@@ -94,5 +95,5 @@
     return _DECODER.decode(decompress_document(change.content))
 
 
-def _packed(records: Iterable[UpstreamRecord]) -> bytes:
+def _compress_records(records: Iterable[UpstreamRecord]) -> bytes:
     return compress_document(msgspec.msgpack.encode(tuple(records)))
--- a/chestnutfall/membership/gateway_agent.py
+++ b/chestnutfall/membership/gateway_agent.py
@@ -191,7 +191,8 @@
         for delta in reply.deltas:
             self._apply_delta(delta)
         if reply.owners is not None:
-            # Another leader than before doesn't have the list of engines yet.
+            # A version begins with the leader's term. The leader of another term doesn't have the
+            # list of engines yet.
             if reply.ownership_version.split(".")[0] != self._ownership_version.split(".")[0]:
                 self._sent_engines = None
             self.owners = {one.engine: one for one in reply.owners}
--- a/chestnutfall/tests/fakes/fake_cluster.py
+++ b/chestnutfall/tests/fakes/fake_cluster.py
@@ -15,7 +15,7 @@
 from .node_clock import NodeClock
 from .recorder import Recorder
 
-SNAPSHOT_EVERY = 8
+SNAPSHOT_EVERY_ENTRIES = 8
 KEEP_ENTRIES = 3
 
 
@@ -67,7 +67,7 @@
             clock,
             random.Random(self.rng.random()),
             Timing(),
-            SNAPSHOT_EVERY,
+            SNAPSHOT_EVERY_ENTRIES,
             KEEP_ENTRIES,
         )
         replica.start(process_start_ms)
--- a/chestnutfall/tests/fakes/fake_network.py
+++ b/chestnutfall/tests/fakes/fake_network.py
@@ -23,17 +23,17 @@
     ----------
     cuts : set of tuple of str
         Pairs of sender and receiver; messages in this direction are lost without an error.
-    doubling : float
+    duplicate_probability : float
         Probability that a request is delivered a second time, later.
     """
 
     def __init__(self, clock: ManualClock, rng: random.Random) -> None:
         self.cuts: set[tuple[str, str]] = set()
-        self.doubling = 0.1
+        self.duplicate_probability = 0.1
         self._clock = clock
         self._rng = rng
         self._handlers: dict[str, tuple[Handler, NodeClock]] = {}
-        self._doubles: set[asyncio.Future[Any]] = set()
+        self._duplicates: set[asyncio.Future[Any]] = set()
 
     def connect(self, address: str, handler: Handler, clock: NodeClock) -> None:
         """Register `handler` for requests to `address`; `clock` is that of its process."""
@@ -51,15 +51,15 @@
         """Deliver `msg` in encoded form and return the reply; waits for ever if either is lost."""
         data = CONSENSUS_CODEC.encode(msg)
         await self._hop(sender, receiver)
-        if self._rng.random() < self.doubling:
-            double = asyncio.ensure_future(self._late_double(receiver, data))
-            self._doubles.add(double)
-            double.add_done_callback(self._doubles.discard)
+        if self._rng.random() < self.duplicate_probability:
+            duplicate = asyncio.ensure_future(self._deliver_duplicate(receiver, data))
+            self._duplicates.add(duplicate)
+            duplicate.add_done_callback(self._duplicates.discard)
         reply = await self._deliver(receiver, data)
         await self._hop(receiver, sender)
         return CONSENSUS_CODEC.decode(reply)
 
-    async def _late_double(self, receiver: str, data: bytes) -> None:
+    async def _deliver_duplicate(self, receiver: str, data: bytes) -> None:
         await self._clock.sleep_ms(self._rng.choice([1, 50, 700]))
         try:
             await self._deliver(receiver, data)
--- a/chestnutfall/tests/fakes/placing_leader.py
+++ b/chestnutfall/tests/fakes/placing_leader.py
@@ -32,14 +32,14 @@
 
 
 class PlacingLeader:
-    """Places, turns and words of upstreams; it knows nothing of the leader before.
+    """Placement, limits and backoffs of one leader term; it starts with empty state.
 
     Parameters
     ----------
     upstreams : callable
-        All that serve.
+        Returns the upstreams that serve now.
     on_order : callable
-        Told each order to an engine.
+        Called with each order to an engine.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self.see()
 
     def see(self) -> None:
-        """Take over which upstreams serve."""
+        """Update placement, limits and backoffs to the upstreams that serve now."""
         upstreams = list(self._upstreams())
         records = [one.record for one in upstreams]
         for instance in set(self.placer.engines) - {one.instance for one in records}:
@@ -76,14 +76,14 @@
         self.placer.engine_reported(record.instance, report)
 
     def join(self, name: str) -> None:
-        """Begin to serve a gateway."""
+        """Start a gateway's session and send it the limits and backoffs."""
         self._by_gateway[name] = session = GatewaySession(name)
         self._sessions.add(session)
         self._limits.send_initial_state(session)
         self._backoffs.send_initial_state(session)
 
     def part(self, name: str) -> None:
-        """End a gateway's session."""
+        """End a gateway's session and withdraw its requests."""
         session = self._by_gateway.pop(name, None)
         if session is not None:
             for ticket in self._sessions.remove(session):
@@ -92,7 +92,7 @@
             self._backoffs.remove_gateway(session)
 
     def take(self, name: str, msg: Any) -> None:
-        """Take a message of a gateway."""
+        """Process a message of a gateway."""
         session = self._by_gateway[name]
         match msg:
             case HeardLimit():
@@ -114,7 +114,7 @@
                 self._sessions.release_ticket(ticket)
 
     def decide(self) -> None:
-        """Carry out what is due."""
+        """Carry out the decisions of placement, and send limits and backoffs that are due."""
         for decision in self.placer.decide():
             match decision:
                 case Grant(ticket):
@@ -135,6 +135,6 @@
         return bool(self._by_gateway[name].out._queue)  # type: ignore[attr-defined]
 
     def out_of(self, name: str) -> list[Any]:
-        """Messages for a gateway."""
+        """Remove and return the queued messages for a gateway."""
         session = self._by_gateway[name]
         return [session.out.get_nowait() for _ in range(session.out.qsize())]
--- a/chestnutfall/tests/test_caller_quotas.py
+++ b/chestnutfall/tests/test_caller_quotas.py
@@ -90,12 +90,12 @@
         self.assertLessEqual(self._most_in_window(), bound)
         self.assertGreaterEqual(len(self.passed), 0.95 * 13 * PER_S)
 
-    async def test_what_is_within_the_rate_passes_wherever_it_is_asked(self) -> None:
+    async def test_requests_within_the_rate_pass_at_any_gateway(self) -> None:
         await self._send(1, 0)
         await self._send(10, 100)
         self.assertGreaterEqual(len(self.passed), 0.99 * 10 * PER_S)
 
-    async def test_no_controller_is_not_called_a_rate_that_is_used_up(self) -> None:
+    async def test_a_missing_controller_is_not_reported_as_a_used_up_rate(self) -> None:
         await self._send(1, 900)
         self.client.quotas = None
         asking = [asyncio.ensure_future(self._request(at % GATEWAYS)) for at in range(18)]
@@ -105,14 +105,14 @@
         self.assertIn("rate_unknown", answers)
         self.assertNotIn("rate_limited", answers)
 
-    async def test_a_refusal_that_ran_nothing_gives_back(self) -> None:
+    async def test_a_request_that_was_not_run_gives_its_unit_back(self) -> None:
         limits, enforcer = self.gateways[0]
         with self.assertRaises(Refusal):
             async with limits.admitted("agency", CALLER):
                 raise Refusal(503, "no_engine", "none", Executed.NO)
         self.assertEqual(enforcer._unreported.get("agency", 0.0), 0.0)
 
-    async def test_requests_at_once_are_bounded_at_each_gateway(self) -> None:
+    async def test_concurrent_requests_are_bounded_at_each_gateway(self) -> None:
         limits, _ = self.gateways[0]
         held = [limits.admitted("agency", CALLER) for _ in range(CALLER.concurrency)]
         for one in held:
--- a/chestnutfall/tests/test_dissemination.py
+++ b/chestnutfall/tests/test_dissemination.py
@@ -42,13 +42,13 @@
         self.assertEqual(len(changes), 1)
         self.assertLess(len(FLEET_CODEC.encode(changes[0])), 300)
 
-    def test_nothing_is_told_where_nothing_changed(self) -> None:
+    def test_unchanged_upstreams_yield_no_change(self) -> None:
         views = UpstreamViews()
         serving = [_record(number) for number in range(50)]
         list(views.change_to(serving))
         self.assertEqual(list(views.change_to(reversed(serving))), [])
 
-    def test_three_thousand_reach_a_gateway_before_it_takes_its_leader_for_dead(self) -> None:
+    def test_three_thousand_reach_a_gateway_within_its_silence_timeout(self) -> None:
         views = UpstreamViews()
         for start in range(0, 3_000, 30):
             list(views.change_to(_record(number) for number in range(start + 30)))
@@ -62,7 +62,7 @@
     )
 
     @given(STEPS, st.sets(st.integers(0, 40)))
-    def test_whenever_a_gateway_joins_it_knows_what_serves(
+    def test_a_gateway_knows_what_serves_whenever_it_joins(
         self, steps: list[tuple[bool, set[int]]], last: set[int]
     ) -> None:
         views = UpstreamViews()
@@ -81,7 +81,7 @@
             for gateway in gateways:
                 self.assertEqual(gateway.instances(), expected)
 
-    def test_what_was_known_stays_in_use_until_all_is_told(self) -> None:
+    def test_the_previous_list_stays_in_use_until_the_last_part(self) -> None:
         views = UpstreamViews()
         for start in range(REBASE_CHANGES + 2):
             list(views.change_to(_record(number) for number in range(20 * start, 20 * start + 900)))
@@ -93,7 +93,7 @@
         self.assertEqual(known.instances(), before)
         self.assertGreater(len(parts), 1)
 
-    def test_a_gateway_that_is_told_all_knows_nearly_all(self) -> None:
+    def test_a_complete_list_contains_nearly_all_upstreams(self) -> None:
         # A new leader learns thousands of upstreams at once. If it sent them as changes after an
         # empty complete view, gateways would start to serve too early and refuse calls to
         # services whose upstreams they don't know yet.
@@ -113,7 +113,7 @@
             known.apply(part)
         self.assertEqual(known.instances(), {_record(2 * MAX_CHANGES - 1).instance})
 
-    def test_services_are_told_apart_after_each_change(self) -> None:
+    def test_upstreams_are_grouped_by_service_after_each_change(self) -> None:
         known, views = KnownUpstreams(), UpstreamViews()
         for count in (4, 7):
             for change in views.change_to(_record(number) for number in range(count)):
@@ -133,7 +133,7 @@
         except TimeoutError:
             return None
 
-    async def test_what_is_urgent_goes_before_bulk_and_bulk_leaves_room(self) -> None:
+    async def test_other_messages_go_before_bulk_and_bulk_is_paced(self) -> None:
         session, clock = GatewaySession("g"), ManualClock()
         session.send_bulk(["bulk 1", "bulk 2"])
         self.assertEqual(await self._next(session, clock, 0), "bulk 1")
@@ -145,7 +145,7 @@
         self.assertEqual(await self._next(session, clock, BULK_INTERVAL_MS), "bulk 2")
         self.assertIsNone(await self._next(session, clock, 150))
 
-    async def test_bulk_that_is_told_anew_replaces_the_old(self) -> None:
+    async def test_newer_bulk_replaces_queued_bulk(self) -> None:
         session, clock = GatewaySession("g"), ManualClock()
         session.send_bulk(["old 1", "old 2"])
         session.send_bulk(["new"])
@@ -154,7 +154,7 @@
 
 class RosterTest(unittest.TestCase):
     @given(st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 4), st.booleans())))
-    def test_lives_of_a_name_are_found_as_by_looking_at_all(
+    def test_the_newest_incarnation_matches_a_search_of_all_records(
         self, steps: list[tuple[str, int, bool]]
     ) -> None:
         roster = UpstreamRoster()
@@ -164,6 +164,6 @@
                 roster.forget(record.instance)
             else:
                 roster.add(record)
-            lives = [one for one in roster.records.values() if one.announced_name == name]
-            newest = max(lives, key=lambda one: one.started_ms, default=None)
+            incarnations = [one for one in roster.records.values() if one.announced_name == name]
+            newest = max(incarnations, key=lambda one: one.started_ms, default=None)
             self.assertEqual(roster.newest_incarnation(name), newest)
--- a/chestnutfall/tests/test_engine_orders.py
+++ b/chestnutfall/tests/test_engine_orders.py
@@ -179,7 +179,7 @@
     async def test_nothing_is_ordered_from_the_report_of_a_restarted_engine(self) -> None:
         # The engine crashed and restarted under its name, and has not announced that yet. Its
         # report shows free slots, and a count that started again. Orders with that count would be
-        # based on a wrong idea of what it holds.
+        # based on the adapters of the earlier incarnation.
         self.engine.started_ms = 5
         self.placer.engines["i1"].synced = False
         self._load("a1")
--- a/chestnutfall/tests/test_fleet_parts.py
+++ b/chestnutfall/tests/test_fleet_parts.py
@@ -35,7 +35,7 @@
 
 
 class UpstreamRosterTest(unittest.TestCase):
-    def test_an_announcement_that_was_held_up_does_not_bring_back_who_left(self) -> None:
+    def test_a_delayed_announcement_does_not_restore_a_departed_upstream(self) -> None:
         roster = UpstreamRoster()
         record = UpstreamRecord("i1", "s", "127.0.0.1:1", "dc")
         roster.add(record)
@@ -46,9 +46,9 @@
         roster.add(record)
         self.assertEqual(roster.records, {})
 
-    def test_a_restart_under_the_same_name_replaces_the_life_before(self) -> None:
-        # Requests go to an engine that holds nothing any more and refuses them one by one, or a
-        # late announcement of the life before takes the engine's place back.
+    def test_a_restart_under_the_same_name_replaces_the_earlier_incarnation(self) -> None:
+        # Otherwise requests for lost adapters are sent to the restarted engine, which refuses each
+        # of them, or a late announcement of the earlier incarnation replaces the later one.
         roster = UpstreamRoster()
         before = UpstreamRecord("i1~1", "s", "127.0.0.1:1", "dc", False, "i1", 1)
         after = UpstreamRecord("i1~2", "s", "127.0.0.1:1", "dc", False, "i1", 2)
@@ -59,7 +59,7 @@
         self.assertEqual(list(roster.records.values()), [after])
         self.assertEqual(roster.newest_incarnation("i1"), after)
 
-    def test_an_announcement_that_tells_no_start_does_not_replace_one_that_does(self) -> None:
+    def test_an_announcement_without_a_start_time_replaces_none_that_has_one(self) -> None:
         roster = UpstreamRoster()
         known = UpstreamRecord("i1~1", "s", "127.0.0.1:1", "dc", False, "i1", 1)
         roster.add(known)
@@ -67,8 +67,8 @@
         self.assertEqual(list(roster.records.values()), [known])
 
 
-class UpstreamWatchTest(unittest.IsolatedAsyncioTestCase):
-    async def test_the_incarnation_heard_last_has_the_address(self) -> None:
+class UpstreamLivenessTest(unittest.IsolatedAsyncioTestCase):
+    async def test_the_latest_announced_incarnation_has_the_address(self) -> None:
         clock = ManualClock()
         liveness = UpstreamLiveness(clock, 1000)
         old = UpstreamRecord("old", "s", "127.0.0.1:1", "dc")
@@ -95,7 +95,7 @@
 
 class HoldersTest(unittest.TestCase):
     @given(st.lists(st.sets(st.integers(0, 5)), min_size=1, max_size=8))
-    def test_gateways_know_what_the_leader_told(self, steps: list[set[int]]) -> None:
+    def test_gateways_know_the_holdings_that_the_leader_sent(self, steps: list[set[int]]) -> None:
         holders = Holders()
         before: frozenset[ReadyAdapter] = frozenset()
         for at, step in enumerate(steps):
--- a/chestnutfall/tests/test_leader_rush.py
+++ b/chestnutfall/tests/test_leader_rush.py
@@ -1,8 +1,9 @@
 """All gateways come to a new leader at once.
 
-Callers of a quarter of the gateways are refused for ten seconds although a leader serves the
-others. Each gateway waits a quarter of a second for its first word, leaves and asks again; every
-coming and going is told to all gateways, and that work is what keeps the first word from coming.
+Each gateway waits a quarter of a second for the leader's first message, then disconnects and
+connects again. If each connection and disconnection were sent to all gateways, that work would
+delay the first messages further, and callers of a quarter of the gateways would be refused for ten
+seconds although the leader serves the others.
 """
 
 from __future__ import annotations
@@ -62,14 +63,14 @@
         self.term.add_gateway(session, -1)
         return session
 
-    async def test_a_gateway_that_comes_and_goes_costs_the_others_nothing(self) -> None:
+    async def test_reconnecting_gateways_cause_no_messages_to_others(self) -> None:
         first = self._join(0)
         self._drain(first)
         for number in range(1, GATEWAYS):
             self.term.remove_gateway(self._join(number))
         self.assertEqual(self._drain(first), [])
 
-    async def test_the_number_of_gateways_is_told_soon_when_it_grew(self) -> None:
+    async def test_a_larger_gateway_count_is_sent_soon(self) -> None:
         first = self._join(0)
         for number in range(1, GATEWAYS):
             self._join(number)
@@ -78,12 +79,12 @@
         self.assertEqual(counts[-1], GatewayCount(GATEWAYS))
         self.assertLessEqual(len(counts), 4)
 
-    async def test_the_first_word_is_short(self) -> None:
-        # A document of thousand routes takes a gateway's link a good part of a second.
-        words = self._drain(self._join(0))
-        self.assertIsInstance(words[0], Controllers)
-        self.assertLess(len(FLEET_CODEC.encode(words[0])), 1_000)
-        self.assertTrue(any(isinstance(word, UpstreamsPart) for word in words))
+    async def test_the_first_message_is_short(self) -> None:
+        # A document of a thousand routes occupies a gateway's link for a good part of a second.
+        messages = self._drain(self._join(0))
+        self.assertIsInstance(messages[0], Controllers)
+        self.assertLess(len(FLEET_CODEC.encode(messages[0])), 1_000)
+        self.assertTrue(any(isinstance(msg, UpstreamsPart) for msg in messages))
 
     @staticmethod
     def _drain(session: GatewaySession) -> list[Any]:
@@ -94,7 +95,7 @@
 
 
 class FirstMessageTimeoutsTest(unittest.TestCase):
-    def test_a_silent_controller_is_given_more_time_until_it_speaks(self) -> None:
+    def test_the_timeout_of_a_silent_controller_grows_until_its_first_message(self) -> None:
         timeouts = FirstMessageTimeouts()
         waits = []
         for _ in range(6):
@@ -110,9 +111,9 @@
 
 
 class RecentGatewaysTest(unittest.TestCase):
-    def test_a_new_leader_that_counts_few_raises_no_share_of_the_budget(self) -> None:
-        # Callers' upstreams are flooded with repeats: after an election the first gateways are
-        # told that they are alone, and each spends the slack of all.
+    def test_a_low_count_of_a_new_leader_does_not_raise_the_share(self) -> None:
+        # After an election, the leader counts only the first gateways that connect. If each of
+        # these used the slack of all gateways, upstreams would be flooded with repeats.
         clock = ManualClock()
         recent = RecentGateways(clock)
         recent.note_count(90)
--- a/chestnutfall/tests/test_repeats.py
+++ b/chestnutfall/tests/test_repeats.py
@@ -56,9 +56,9 @@
     def test_all_gateways_together_keep_the_bound_in_every_window(
         self, steps: list[tuple[int, int]]
     ) -> None:
-        asyncio.run(self._play(steps))
+        asyncio.run(self._run_steps(steps))
 
-    async def _play(self, steps: list[tuple[int, int]]) -> None:
+    async def _run_steps(self, steps: list[tuple[int, int]]) -> None:
         fleet = _Fleet(4)
         requests: list[int] = []
         repeats: list[int] = []
@@ -78,8 +78,8 @@
             self.assertLessEqual(sum(at in window for at in repeats), allowed)
 
     async def test_the_slack_goes_to_the_gateway_that_has_the_callers(self) -> None:
-        # All callers come to one gateway, and their engines fail. With equal shares it had 33 of
-        # 300 repeats among 9 gateways, and one among 200, while the other gateways needed none.
+        # All callers come to one gateway, and their engines fail. With equal shares it would
+        # have 33 of 300 repeats among 9 gateways, and one among 200, while the others need none.
         for gateways in (9, 200, 410):
             with self.subTest(gateways=gateways):
                 fleet = _Fleet(gateways, RepeatBounds(0.0, 430, 10_000))
@@ -87,8 +87,10 @@
                 got = await fleet.repeats_of(0, 400)
                 self.assertGreaterEqual(got, int(SAFETY_FACTOR * POOL_SHARE * 430))
 
-    async def test_a_new_leader_gives_nothing_that_the_one_before_may_have_given(self) -> None:
-        # A leader gives out all its repeats and is cut off. Its successor does not know of them.
+    async def test_a_new_leader_waits_until_repeats_of_its_predecessor_are_out_of_the_window(
+        self,
+    ) -> None:
+        # A leader grants all its repeats and is cut off. Its successor does not know of them.
         fleet = _Fleet(2, RepeatBounds(0.0, 40, 10_000))
         await fleet.clock.advance(10_000)
         self.assertEqual(await fleet.repeats_of(0, 50), 7 + 14)
@@ -130,7 +132,7 @@
         self.assertTrue(await fleet.gateways[0].spend("other", upstream_is_busy=False))
 
 
-class BorrowTest(unittest.IsolatedAsyncioTestCase):
+class LeaderRepeatTest(unittest.IsolatedAsyncioTestCase):
     """A gateway asks the leader for one repeat."""
 
     def setUp(self) -> None:
@@ -146,11 +148,11 @@
         await self.clock.settle()
         questions = [self.client._out.get_nowait() for _ in asked]
         self.assertEqual({one.service for one in questions if isinstance(one, AskRepeat)}, {"s"})
-        for question, given_ in zip(reversed(questions), (True, False), strict=True):
-            self.client._handle(AnswerRepeat(question.number, given_), "address")
+        for question, granted in zip(reversed(questions), (True, False), strict=True):
+            self.client._handle(AnswerRepeat(question.number, granted), "address")
         self.assertEqual([await one for one in asked], [False, True])
 
-    async def test_a_leader_that_says_nothing_gives_nothing(self) -> None:
+    async def test_a_silent_leader_grants_nothing(self) -> None:
         self.client.connected = True
         asked = asyncio.ensure_future(self.client.borrow_repeat("s"))
         await self.clock.advance(REPEAT_TIMEOUT_MS + 1)
--- a/chestnutfall/tests/test_replica.py
+++ b/chestnutfall/tests/test_replica.py
@@ -32,7 +32,7 @@
         return [name for name in self.cluster.names if name != replica.replica_id]
 
     async def test_isolated_leader_stops_deciding_before_a_successor_can(self) -> None:
-        # The leader loses contact to all others but is not told so. Its lease must expire before
+        # The leader loses contact to all others but gets no error. Its lease must expire before
         # the others can elect a successor; else two controllers give different answers.
         self.cluster.isolate(self.leader.replica_id)
         successor = None
@@ -55,11 +55,11 @@
         self.assertFalse(self.leader.is_active_leader())
 
     async def test_follower_that_misses_the_leader_does_not_depose_it(self) -> None:
-        # One follower receives nothing from the leader but reaches the other follower, which
-        # does. If that one granted its vote, a second leader would be active within the first
-        # one's lease.
+        # One follower receives nothing from the leader but reaches the other follower, which is
+        # still in contact with the leader. If the other follower granted its vote, a
+        # second leader would be active within the first one's lease.
         for name in self._others(self.leader):
-            with self.subTest(deaf=name):
+            with self.subTest(cut_off=name):
                 self.cluster.network.cuts = {(self.leader.replica_id, name)}
                 term = self.leader.term
                 for _ in range(400):
@@ -80,7 +80,7 @@
         self.assertEqual(self.leader.term, term)
         self.assertEqual(self.cluster.replicas[alone].term, term)
 
-    async def test_restarted_follower_votes_for_nobody_at_first(self) -> None:
+    async def test_restarted_follower_grants_no_vote_at_first(self) -> None:
         # After a restart a follower doesn't know that it just had contact with the leader. If it
         # voted now, it could help elect a second leader within the first one's lease.
         voter, candidate = self._others(self.leader)
@@ -269,7 +269,7 @@
         self.assertEqual(await blank.handle(request), WrongReplica(f"{lost}-2"))
         self.assertEqual(blank.term, 0)
 
-    async def test_call_that_is_given_up_disturbs_nobody_else(self) -> None:
+    async def test_cancelled_call_does_not_cancel_other_tasks(self) -> None:
         # A call is cancelled at its deadline while its record is being synced. Other tasks, such
         # as a campaign, wait for the same sync and must not be cancelled with it.
         follower = self.cluster.replicas[self._others(self.leader)[0]]
@@ -309,7 +309,7 @@
         waits_ms = [await self._without_leader_ms(seed) for seed in range(12)]
         self.assertLess(max(waits_ms), 1_400)
 
-    async def test_what_a_process_spent_on_starting_counts_as_silence(self) -> None:
+    async def test_start_time_of_a_process_counts_as_time_without_a_leader(self) -> None:
         # A restarted replica grants no vote for one election timeout, in case it had contact
         # with a leader before. The time its process took to load its libraries counts too;
         # otherwise the first election after a power loss of all hosts is delayed by it.
--- a/chestnutfall/tests/test_wire.py
+++ b/chestnutfall/tests/test_wire.py
@@ -63,7 +63,7 @@
         finally:
             await channel.close()
 
-    async def test_only_processes_of_this_office_are_answered(self) -> None:
+    async def test_only_processes_of_this_deployment_are_answered(self) -> None:
         client = self.authority.issue(self.folder, "client")
         self.assertEqual(await self._call(client), VoteReply(1, True))
         stranger = CertificateAuthority("elsewhere").issue(self.folder, "stranger")
--- a/properties/safeguards/quota_mutants.py
+++ b/properties/safeguards/quota_mutants.py
@@ -103,7 +103,7 @@
     Mutant(
         "a controller that is cut off answers heartbeats",
         "chestnutfall/coordination/heartbeat_batch.py",
-        "        if not is_in_touch or not is_known or msg.record.leaving:",
+        "        if not has_leader_contact or not is_known or msg.record.leaving:",
         "        if not is_known or msg.record.leaving:",
         "chestnutfall.tests.test_heartbeat_batch",
     ),
