--- a/chestnutfall/tests/fakes/taking_engines.py
+++ b/chestnutfall/tests/fakes/accepting_engines.py
@@ -1,4 +1,4 @@
-"""Engines that take every order."""
+"""A fake of the orders and reports between a leader and engines: every order is accepted."""
 
 from __future__ import annotations
 
@@ -9,8 +9,14 @@
 from ...placement import EngineReport
 
 
-class TakingEngines(EngineControl):
-    """Takes every order, and notes its fencing token and the order."""
+class AcceptingEngines(EngineControl):
+    """Accepts every order without effect and reports engines that hold only their base model.
+
+    Attributes
+    ----------
+    orders : list of (int, Any)
+        Fencing token and order of each call, in order.
+    """
 
     def __init__(self) -> None:
         self.orders: list[tuple[int, Any]] = []
--- a/chestnutfall/tests/fakes/fake_links.py
+++ b/chestnutfall/tests/fakes/fake_links.py
@@ -48,7 +48,7 @@
         other = self._others().get(session)
         here_gone = self.cut or own is None or not own.alive
         gone = here_gone or other is None or other.links.cut or not other.alive
-        return None if gone else other.desk  # type: ignore[union-attr]
+        return None if gone else other.engine_owners  # type: ignore[union-attr]
 
     def update_links(self) -> None:
         """Do nothing: there are no streams."""
--- a/chestnutfall/tests/fakes/fake_office.py
+++ b/chestnutfall/tests/fakes/fake_office.py
@@ -48,7 +48,7 @@
             self.session, "127.0.0.1:1", SITE, self.client, self.registry, self.clock, 6000
         )
         permits = ControllerPermits(self.client, self.session, self.clock)
-        self.desk = EngineOwners(
+        self.engine_owners = EngineOwners(
             self.agent,
             self.registry,
             office.engines,
@@ -57,7 +57,9 @@
             self.metrics,
             lambda other: other not in self.agent.gateways and other != self.session,
         )
-        self.links = FakeLinks(self.agent, self.desk, self.clock, lambda: office.by_session())
+        self.links = FakeLinks(
+            self.agent, self.engine_owners, self.clock, lambda: office.by_session()
+        )
         self.claims = ClaimClient(self.client, self.session)
         reports = ReportSender(self.client)
         self.quarantine = RequestQuarantine(
@@ -91,8 +93,8 @@
             SITE,
         )
         self.registry.is_drained = lambda upstream: self.agent.config.is_drained(upstream)
-        self.agent.acting = self.desk.acting
-        self.agent.on_change = self.desk.reconcile_ownership
+        self.agent.acting = self.engine_owners.acting
+        self.agent.on_change = self.engine_owners.reconcile_ownership
         self.tasks = [
             asyncio.ensure_future(self.agent.run()),
             asyncio.ensure_future(self._watch_leases()),
@@ -101,7 +103,7 @@
     async def _watch_leases(self) -> None:
         while True:
             await self.clock.sleep_ms(50)
-            self.desk.reconcile_ownership()
+            self.engine_owners.reconcile_ownership()
 
     async def kill(self) -> None:
         """End the process at once, without any message to others."""
--- a/chestnutfall/tests/fakes/limit_office.py
+++ b/chestnutfall/tests/fakes/limit_office.py
@@ -59,7 +59,7 @@
         super().__init__(gateways, engines, plain, seed)
 
     async def _call(self, service: str, gateway: PlacingGateway, organisation: str) -> None:
-        wanted = self._wanted(service, self.clock.now_ms(), organisation)
+        wanted = self._selection_criteria(service, self.clock.now_ms(), organisation)
         failed_at = await self._send(wanted, gateway)
         if failed_at:
             await self._send(replace(wanted, avoid=(failed_at,)), gateway)
--- a/chestnutfall/tests/fakes/placing_gateway.py
+++ b/chestnutfall/tests/fakes/placing_gateway.py
@@ -73,9 +73,9 @@
 
     def join(self, leader: PlacingLeader) -> None:
         """Connect to a leader."""
-        leader.join(self.name)
+        leader.add_gateway(self.name)
         for heard in self.signals.reports_for_new_leader():
-            leader.take(self.name, heard)
+            leader.handle(self.name, heard)
         self.fleet._on_connected("leader")
 
     def lose(self) -> None:
@@ -89,10 +89,10 @@
         # Fast path: this runs for hundreds of gateways at each step, and there is rarely a message.
         if self.fleet._out._queue:  # type: ignore[attr-defined]
             self._send_all(leader)
-        if leader.has_news(self.name):
-            for msg in leader.out_of(self.name):
+        if leader.has_messages(self.name):
+            for msg in leader.take_messages(self.name):
                 self.fleet._handle(msg, "leader")
 
     def _send_all(self, leader: PlacingLeader) -> None:
         while not self.fleet._out.empty():
-            leader.take(self.name, self.fleet._out.get_nowait())
+            leader.handle(self.name, self.fleet._out.get_nowait())
--- a/chestnutfall/tests/fakes/placing_leader.py
+++ b/chestnutfall/tests/fakes/placing_leader.py
@@ -1,4 +1,4 @@
-"""A leading controller's part in placing calls, without a network."""
+"""A leader's placement of calls, turns and backoffs, without a network or a replicated log."""
 
 from __future__ import annotations
 
@@ -32,12 +32,14 @@
 
 
 class PlacingLeader:
-    """Placement, limits and backoffs of one leader term; it starts with empty state.
+    """A leader's placer and its coordinators of limits and backoffs, with real decision code.
+
+    It begins without any state of the previous leader.
 
     Parameters
     ----------
     upstreams : callable
-        Returns the upstreams that serve now.
+        Returns the serving upstreams; called by `update_upstreams`.
     on_order : callable
         Called with each order to an engine.
     """
@@ -50,40 +52,40 @@
     ) -> None:
         self._upstreams = upstreams
         self._on_order = on_order
-        book, backoffs = LimitRegistry(clock), BackoffRegistry(clock)
+        limits, backoffs = LimitRegistry(clock), BackoffRegistry(clock)
         self._sessions = GatewaySessions()
-        self.placer = Placer(clock, book, backoffs)
-        self._limits = LimitCoordinator(book, backoffs, self.placer, self._sessions, clock)
+        self.placer = Placer(clock, limits, backoffs)
+        self._limits = LimitCoordinator(limits, backoffs, self.placer, self._sessions, clock)
         self._backoffs = BackoffCoordinator(backoffs, self.placer, self._sessions, clock)
         self._by_gateway: dict[str, GatewaySession] = {}
-        self.see()
+        self.update_upstreams()
 
-    def see(self) -> None:
-        """Update placement, limits and backoffs to the upstreams that serve now."""
+    def update_upstreams(self) -> None:
+        """Read the serving upstreams again and apply the changes."""
         upstreams = list(self._upstreams())
         records = [one.record for one in upstreams]
         for instance in set(self.placer.engines) - {one.instance for one in records}:
             self.placer.engine_down(instance)
         for one in upstreams:
             if one.record.service == ENGINES and one.record.instance not in self.placer.engines:
-                self._begin(one.record, one)
+                self._add_engine(one.record, one)
         self._limits.set_serving(records)
         self._backoffs.set_serving(records)
 
-    def _begin(self, record: UpstreamRecord, engine: SignallingUpstream) -> None:
+    def _add_engine(self, record: UpstreamRecord, engine: SignallingUpstream) -> None:
         self.placer.engine_up(record.instance, record.service, "dc", SPEC)
         report = EngineReport({"base": 1}, dict(engine.holds), {}, 0)
         self.placer.engine_reported(record.instance, report)
 
-    def join(self, name: str) -> None:
-        """Start a gateway's session and send it the limits and backoffs."""
+    def add_gateway(self, name: str) -> None:
+        """Open a session for a gateway and send it the initial state."""
         self._by_gateway[name] = session = GatewaySession(name)
         self._sessions.add(session)
         self._limits.send_initial_state(session)
         self._backoffs.send_initial_state(session)
 
-    def part(self, name: str) -> None:
-        """End a gateway's session and withdraw its requests."""
+    def remove_gateway(self, name: str) -> None:
+        """End a gateway's session and withdraw its tickets; does nothing without a session."""
         session = self._by_gateway.pop(name, None)
         if session is not None:
             for ticket in self._sessions.remove(session):
@@ -91,8 +93,8 @@
             self._limits.remove_gateway(session)
             self._backoffs.remove_gateway(session)
 
-    def take(self, name: str, msg: Any) -> None:
-        """Process a message of a gateway."""
+    def handle(self, name: str, msg: Any) -> None:
+        """Handle a message from a gateway that has a session."""
         session = self._by_gateway[name]
         match msg:
             case HeardLimit():
@@ -114,7 +116,7 @@
                 self._sessions.release_ticket(ticket)
 
     def decide(self) -> None:
-        """Carry out the decisions of placement, and send limits and backoffs that are due."""
+        """Send the decisions, orders, turns and hints that are due."""
         for decision in self.placer.decide():
             match decision:
                 case Grant(ticket):
@@ -130,11 +132,11 @@
         self._limits.send_due()
         self._backoffs.send_due()
 
-    def has_news(self, name: str) -> bool:
-        """Whether there are messages for a gateway."""
+    def has_messages(self, name: str) -> bool:
+        """Return whether messages for a gateway are queued."""
         return bool(self._by_gateway[name].out._queue)  # type: ignore[attr-defined]
 
-    def out_of(self, name: str) -> list[Any]:
-        """Remove and return the queued messages for a gateway."""
+    def take_messages(self, name: str) -> list[Any]:
+        """Remove the queued messages for a gateway and return them."""
         session = self._by_gateway[name]
         return [session.out.get_nowait() for _ in range(session.out.qsize())]
--- a/chestnutfall/tests/fakes/placing_office.py
+++ b/chestnutfall/tests/fakes/placing_office.py
@@ -1,4 +1,4 @@
-"""Gateways, one leader after another and upstreams that say things, without a network."""
+"""A deployment of gateways, a replaceable leader and upstreams that signal, without a network."""
 
 from __future__ import annotations
 
@@ -22,16 +22,21 @@
 
 
 class PlacingOffice(ABC):
-    """Everything but how a call is made.
+    """A simulated deployment on a manual clock; subclasses define how a call is made.
 
     Attributes
     ----------
     upstreams : dict of str to SignallingUpstream
-        All that serve, by instance.
+        The serving upstreams by instance.
+    gateways : dict of str to PlacingGateway
+        The gateways by name.
+    leader : PlacingLeader or None
+        The present leader, if any.
     """
 
     def __init__(self, gateways: int, engines: int = 3, plain: int = 3, seed: int = 1) -> None:
-        # The loop of a test case keeps the stack of each callback; that is most of the time here.
+        # A test case's loop runs in debug mode and records the stack of each callback, which would
+        # take most of the time.
         asyncio.get_running_loop().set_debug(False)
         self.clock = ManualClock(60_000)
         self.rng = random.Random(seed)
@@ -55,11 +60,11 @@
         return PlacingGateway(name, present, lambda: len(self.gateways), self.clock)
 
     def on_order(self, order: Order) -> None:
-        """Take an order to an engine; here engines hold what they held."""
+        """Called with each order to an engine; here it has no effect on what engines hold."""
         del order
 
     def begin_leader(self) -> None:
-        """Let a controller lead that knows nothing of the leader before."""
+        """Start a leader without state of the previous one; gateways that aren't cut connect."""
         self.lose_leader()
         self.leader = PlacingLeader(self.upstreams.values, self.on_order, self.clock)
         for gateway in self.gateways.values():
@@ -67,28 +72,28 @@
                 gateway.join(self.leader)
 
     def lose_leader(self) -> None:
-        """Leave all gateways without a leader."""
+        """Remove the leader and disconnect all gateways."""
         self.leader = None
         for gateway in self.gateways.values():
             gateway.lose()
 
     def cut(self, name: str) -> None:
-        """Cut a gateway off from every leader."""
+        """Disconnect a gateway and keep it from connecting to any leader."""
         gateway = self.gateways[name]
         gateway.cut = True
         gateway.lose()
         if self.leader is not None:
-            self.leader.part(name)
+            self.leader.remove_gateway(name)
 
     def restart(self, name: str) -> None:
-        """Let a gateway begin anew, knowing nothing."""
+        """Replace a gateway by a new process without state."""
         self.cut(name)
         self.gateways[name] = self._gateway(name)
         if self.leader is not None:
             self.gateways[name].join(self.leader)
 
     def limit(self, instance: str, text: str | None) -> int:
-        """Let an upstream name a limit from now on; the present time."""
+        """Set the value of an upstream's limit header and return the present time in ms."""
         self.upstreams[instance].limit = text
         return self.clock.now_ms()
 
@@ -99,19 +104,29 @@
         gateways: list[str] | None = None,
         organisation: str = "",
     ) -> None:
-        """Let clients call so often a second, by service, through some gateways."""
-        through = gateways or list(self.gateways)
+        """Make calls at constant rates while the clock advances.
+
+        Parameters
+        ----------
+        per_s : dict of str to float
+            Calls per second by service.
+        gateways : list of str, optional
+            Gateways that the calls are spread over at random; all by default.
+        organisation : str
+            Organisation of the calls.
+        """
+        names = gateways or list(self.gateways)
         for _ in range(ms // STEP_MS):
             for service, rate in per_s.items():
                 key = f"{service}/{organisation}"
                 self._due[key] = self._due.get(key, 0.0) + rate * STEP_MS / 1000
                 while self._due[key] >= 1:
                     self._due[key] -= 1
-                    self.call(service, self.rng.choice(through), organisation)
+                    self.call(service, self.rng.choice(names), organisation)
             await self.step()
 
     async def step(self) -> None:
-        """Let a moment pass."""
+        """Advance the clock by `STEP_MS` and exchange the messages of gateways and leader."""
         await self.clock.advance(STEP_MS)
         leader = self.leader
         if leader is None:
@@ -124,16 +139,18 @@
         await self.clock.settle()
 
     def call(self, service: str, name: str, organisation: str = "") -> None:
-        """Make a call."""
+        """Start a call through the gateway `name`, without waiting for its end."""
         task = asyncio.ensure_future(self._call(service, self.gateways[name], organisation))
         self._calls.add(task)
         task.add_done_callback(self._calls.discard)
 
     @abstractmethod
     async def _call(self, service: str, gateway: PlacingGateway, organisation: str) -> None:
-        """Make one call, to its end."""
+        """Make a call through `gateway` and wait for its end."""
 
-    def _wanted(self, service: str, now_ms: int, organisation: str) -> SelectionCriteria:
+    def _selection_criteria(
+        self, service: str, now_ms: int, organisation: str
+    ) -> SelectionCriteria:
         is_engine = service == ENGINES
         adapter = AdapterName("base", f"a{self.rng.randrange(ADAPTERS)}") if is_engine else None
         until_ms = now_ms + DEADLINE_MS
@@ -146,7 +163,7 @@
         )
 
     async def stop(self) -> None:
-        """End every call."""
+        """Cancel all calls in progress and wait for their ends."""
         for call in self._calls:
             call.cancel()
         await asyncio.gather(*self._calls, return_exceptions=True)
--- a/chestnutfall/tests/fakes/signal_office.py
+++ b/chestnutfall/tests/fakes/signal_office.py
@@ -234,7 +234,7 @@
     def see(self) -> None:
         """Tell the leader and all gateways which upstreams exist."""
         if self.leader is not None:
-            self.leader.see()
+            self.leader.update_upstreams()
         for gateway in self.gateways.values():
             gateway.set_upstreams(self.upstreams.values())
 
--- a/chestnutfall/tests/fault_matrix.py
+++ b/chestnutfall/tests/fault_matrix.py
@@ -1,11 +1,12 @@
-"""Every fault at every step of a request: a test, or why it can't happen there.
+"""A matrix of faults and request steps: each cell names a test, or why the fault can't happen.
 
-`python -m chestnutfall.tests.fault_matrix > docs/FAULTS.md` writes the table; a test compares.
+`python -m chestnutfall.tests.fault_matrix > docs/FAULTS.md` writes the page, and
+`test_fault_matrix` checks that it is current.
 """
 
 from __future__ import annotations
 
-from .signal_faults import ASKS_FOR_TIME, SAYS_IT_LEAVES, SIGNAL_FAULTS
+from .signal_faults import BACKOFF_REQUESTED, ENGINE_LEAVING, SIGNAL_FAULTS
 
 STEPS = (
     "accept",
@@ -35,8 +36,8 @@
     "stale owner",
     "fatal request",
     "named limit",
-    ASKS_FOR_TIME,
-    SAYS_IT_LEAVES,
+    BACKOFF_REQUESTED,
+    ENGINE_LEAVING,
 )
 
 _REQ = "test_request_faults.RequestFaultTest."
@@ -257,17 +258,17 @@
 
 
 def cell(step: str, fault: str) -> Cell:
-    """The test or reason for a fault at a step."""
+    """Return the name of the test for a fault at a step, or why it can't happen there."""
     return (_DEFAULTS[step] | SIGNAL_FAULTS[step])[fault]
 
 
 def is_test(text: Cell) -> bool:
-    """Whether a cell names a test."""
+    """Return whether a cell names a test; otherwise it holds a reason."""
     return "Test." in text
 
 
 def render() -> str:
-    """The whole matrix as Markdown."""
+    """Return the whole page as Markdown."""
     lines = [
         "# Faults",
         "",
--- a/chestnutfall/tests/test_answer_timer.py
+++ b/chestnutfall/tests/test_answer_timer.py
@@ -14,7 +14,7 @@
 
 
 class AnswerTimerTest(unittest.TestCase):
-    def test_lost_answers_hardly_lengthen_the_wait(self) -> None:
+    def test_lost_answers_hardly_lengthen_the_timeout(self) -> None:
         for lost_of_ten in (3, 5):
             with self.subTest(lost_of_ten):
                 timer = AnswerTimer()
@@ -25,7 +25,7 @@
                         timer.answered(USUAL_MS)
                 self.assertLess(timer.timeout_ms, 3 * TIMEOUT_FACTOR * USUAL_MS)
 
-    def test_a_slower_engine_is_waited_for(self) -> None:
+    def test_the_timeout_grows_for_a_slower_engine(self) -> None:
         timer = AnswerTimer()
         for _ in range(50):
             timer.answered(USUAL_MS)
--- a/chestnutfall/tests/test_crash_monitor.py
+++ b/chestnutfall/tests/test_crash_monitor.py
@@ -25,7 +25,7 @@
 from ..platform.document_json import DocumentJson
 from ..settings.quota_bounds import STRICT_QUOTA_BOUNDS
 from .fakes import FakeCluster
-from .fakes.taking_engines import TakingEngines
+from .fakes.accepting_engines import AcceptingEngines
 from .test_fleet_leader import REPEATS
 
 KNOWN_MS = 1_000
@@ -165,7 +165,7 @@
                 replica,
                 state,
                 DocumentJson(),
-                TakingEngines(),
+                AcceptingEngines(),
                 self.cluster.clock,
                 1000,
                 REPEATS,
--- a/chestnutfall/tests/test_dissemination.py
+++ b/chestnutfall/tests/test_dissemination.py
@@ -42,13 +42,13 @@
         self.assertEqual(len(changes), 1)
         self.assertLess(len(FLEET_CODEC.encode(changes[0])), 300)
 
-    def test_unchanged_upstreams_yield_no_change(self) -> None:
+    def test_nothing_is_sent_where_nothing_changed(self) -> None:
         views = UpstreamViews()
         serving = [_record(number) for number in range(50)]
         list(views.change_to(serving))
         self.assertEqual(list(views.change_to(reversed(serving))), [])
 
-    def test_three_thousand_reach_a_gateway_within_its_silence_timeout(self) -> None:
+    def test_three_thousand_upstreams_reach_a_gateway_before_its_leader_timeout(self) -> None:
         views = UpstreamViews()
         for start in range(0, 3_000, 30):
             list(views.change_to(_record(number) for number in range(start + 30)))
@@ -62,7 +62,7 @@
     )
 
     @given(STEPS, st.sets(st.integers(0, 40)))
-    def test_a_gateway_knows_what_serves_whenever_it_joins(
+    def test_a_gateway_that_joins_at_any_time_knows_the_serving_upstreams(
         self, steps: list[tuple[bool, set[int]]], last: set[int]
     ) -> None:
         views = UpstreamViews()
@@ -81,7 +81,7 @@
             for gateway in gateways:
                 self.assertEqual(gateway.instances(), expected)
 
-    def test_the_previous_list_stays_in_use_until_the_last_part(self) -> None:
+    def test_known_upstreams_stay_in_use_until_the_view_is_complete(self) -> None:
         views = UpstreamViews()
         for start in range(REBASE_CHANGES + 2):
             list(views.change_to(_record(number) for number in range(20 * start, 20 * start + 900)))
@@ -93,7 +93,7 @@
         self.assertEqual(known.instances(), before)
         self.assertGreater(len(parts), 1)
 
-    def test_a_complete_list_contains_nearly_all_upstreams(self) -> None:
+    def test_a_complete_view_contains_nearly_all_upstreams(self) -> None:
         # A new leader learns thousands of upstreams at once. If it sent them as changes after an
         # empty complete view, gateways would start to serve too early and refuse calls to
         # services whose upstreams they don't know yet.
@@ -133,7 +133,7 @@
         except TimeoutError:
             return None
 
-    async def test_other_messages_go_before_bulk_and_bulk_is_paced(self) -> None:
+    async def test_urgent_messages_pass_bulk_and_bulk_is_spaced_out(self) -> None:
         session, clock = GatewaySession("g"), ManualClock()
         session.send_bulk(["bulk 1", "bulk 2"])
         self.assertEqual(await self._next(session, clock, 0), "bulk 1")
@@ -145,7 +145,7 @@
         self.assertEqual(await self._next(session, clock, BULK_INTERVAL_MS), "bulk 2")
         self.assertIsNone(await self._next(session, clock, 150))
 
-    async def test_newer_bulk_replaces_queued_bulk(self) -> None:
+    async def test_new_bulk_replaces_queued_bulk(self) -> None:
         session, clock = GatewaySession("g"), ManualClock()
         session.send_bulk(["old 1", "old 2"])
         session.send_bulk(["new"])
@@ -154,7 +154,7 @@
 
 class RosterTest(unittest.TestCase):
     @given(st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 4), st.booleans())))
-    def test_the_newest_incarnation_matches_a_search_of_all_records(
+    def test_the_newest_incarnation_is_the_same_as_by_a_full_scan(
         self, steps: list[tuple[str, int, bool]]
     ) -> None:
         roster = UpstreamRoster()
--- a/chestnutfall/tests/test_fleet_leader.py
+++ b/chestnutfall/tests/test_fleet_leader.py
@@ -48,7 +48,7 @@
 from ..settings.quota_bounds import STRICT_QUOTA_BOUNDS
 from ..settings.repeat_bounds import RepeatBounds
 from .fakes import FakeCluster
-from .fakes.taking_engines import TakingEngines
+from .fakes.accepting_engines import AcceptingEngines
 
 REPEATS = RepeatBounds(0.2, 20, 1_000)
 ENGINE = {
@@ -73,7 +73,7 @@
     async def asyncSetUp(self) -> None:
         self.cluster = FakeCluster(5, ("a", "b", "c"), ControlState)
         await self.cluster.bootstrap()
-        self.engines = TakingEngines()
+        self.engines = AcceptingEngines()
         self.leaders: dict[str, FleetLeader] = {}
         self.relays: dict[str, LeaderRelay] = {}
         self.tasks: list[asyncio.Task[None]] = []
@@ -211,7 +211,7 @@
         for msg in (ReadDocument(), StoreDocument(4, compress_document(_document(4))), Depart("1")):
             self.assertIsInstance(await self._ask(msg), Unavailable)
 
-    async def test_an_upstream_that_leaves_is_gone_from_every_view_before_the_answer(self) -> None:
+    async def test_a_leaving_upstream_is_removed_from_every_gateway_before_the_answer(self) -> None:
         await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 1)
         await self.cluster.clock.advance(MIN_UPDATE_INTERVAL_MS)
@@ -316,7 +316,7 @@
         term.handle(session, AskRepeat(2, "drafts"))
         self.assertEqual(self._messages(session, AnswerRepeat), [AnswerRepeat(2, False)])
 
-    async def test_a_place_is_given_after_one_load_under_the_term_as_fencing_token(self) -> None:
+    async def test_requests_are_placed_after_one_load_with_the_term_as_fencing_token(self) -> None:
         await self._ask(StoreDocument(3, compress_document(_document(3))))
         await self._announce("1", 1)
         session = self._join()
--- a/chestnutfall/tests/test_fleet_parts.py
+++ b/chestnutfall/tests/test_fleet_parts.py
@@ -1,4 +1,4 @@
-"""Small parts of the fleet: event splitting, roster, document slot, drain."""
+"""Small parts of the platform: event splitter, roster, liveness, holders, document slot, drain."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class UpstreamRosterTest(unittest.TestCase):
-    def test_a_delayed_announcement_does_not_restore_a_departed_upstream(self) -> None:
+    def test_a_delayed_announcement_does_not_restore_an_upstream_that_left(self) -> None:
         roster = UpstreamRoster()
         record = UpstreamRecord("i1", "s", "127.0.0.1:1", "dc")
         roster.add(record)
@@ -46,9 +46,9 @@
         roster.add(record)
         self.assertEqual(roster.records, {})
 
-    def test_a_restart_under_the_same_name_replaces_the_earlier_incarnation(self) -> None:
-        # Otherwise requests for lost adapters are sent to the restarted engine, which refuses each
-        # of them, or a late announcement of the earlier incarnation replaces the later one.
+    def test_a_restart_under_the_same_name_replaces_the_previous_incarnation(self) -> None:
+        # Otherwise requests are sent to an engine that lost its adapters and refuses each of them,
+        # or a late announcement of the previous incarnation replaces the current one.
         roster = UpstreamRoster()
         before = UpstreamRecord("i1~1", "s", "127.0.0.1:1", "dc", False, "i1", 1)
         after = UpstreamRecord("i1~2", "s", "127.0.0.1:1", "dc", False, "i1", 2)
@@ -59,7 +59,7 @@
         self.assertEqual(list(roster.records.values()), [after])
         self.assertEqual(roster.newest_incarnation("i1"), after)
 
-    def test_an_announcement_without_a_start_time_replaces_none_that_has_one(self) -> None:
+    def test_an_announcement_without_a_start_time_does_not_replace_one_with_it(self) -> None:
         roster = UpstreamRoster()
         known = UpstreamRecord("i1~1", "s", "127.0.0.1:1", "dc", False, "i1", 1)
         roster.add(known)
@@ -68,7 +68,7 @@
 
 
 class UpstreamLivenessTest(unittest.IsolatedAsyncioTestCase):
-    async def test_the_latest_announced_incarnation_has_the_address(self) -> None:
+    async def test_the_incarnation_announced_last_has_the_address(self) -> None:
         clock = ManualClock()
         liveness = UpstreamLiveness(clock, 1000)
         old = UpstreamRecord("old", "s", "127.0.0.1:1", "dc")
@@ -117,8 +117,8 @@
         self.assertEqual((slot.version, slot.content), (3, b"x"))
 
 
-class _Entry(Drainable):
-    """An entry whose calls end at given times."""
+class _DrainingGateway(Drainable):
+    """A gateway whose calls in progress end at given times, in ms on `clock`."""
 
     def __init__(self, clock: ManualClock, ends_ms: list[int]) -> None:
         self._clock = clock
@@ -139,12 +139,12 @@
 class DrainTest(unittest.IsolatedAsyncioTestCase):
     async def _ended_ms(self, ends_ms: list[int]) -> int:
         clock = ManualClock()
-        entry = _Entry(clock, ends_ms)
-        draining = asyncio.ensure_future(drain(entry, clock, 8_000))
+        gateway = _DrainingGateway(clock, ends_ms)
+        draining = asyncio.ensure_future(drain(gateway, clock, 8_000))
         while not draining.done():
             await clock.advance(10)
-        self.assertTrue(entry.left)
-        self.refused_ms = entry.refused_ms
+        self.assertTrue(gateway.left)
+        self.refused_ms = gateway.refused_ms
         return clock.now_ms()
 
     async def test_it_serves_until_the_balancer_and_the_last_call_are_gone(self) -> None:
@@ -153,16 +153,16 @@
         self.assertGreaterEqual(ended_ms, 5_000 + QUIET_MS - POLL_MS)
 
     async def test_late_requests_are_refused_while_earlier_ones_end(self) -> None:
-        # A client comes back on a connection that was idle for five seconds, and its draft is
-        # cut off half way when the grace time is over.
+        # A client reuses a connection that was idle for five seconds. If its request were
+        # accepted, its stream would be cut off when the grace time is over.
         await self._ended_ms([6_000])
         assert self.refused_ms is not None
         self.assertLessEqual(abs(self.refused_ms - BALANCER_NOTICE_MS), POLL_MS)
 
     async def test_the_last_call_has_most_of_the_grace_time(self) -> None:
-        # A draft comes three seconds after the request to stop, on a connection that was kept,
-        # and takes five seconds. Accepted, it is cut off when the host is killed. The balancer
-        # sends nothing new after its second miss.
+        # A streamed request arrives three seconds after the request to stop, on a kept connection,
+        # and takes five seconds. If it were accepted, it would be cut off when the host is killed.
+        # The load balancer sends nothing new after its second failed health check.
         await self._ended_ms([6_000])
         assert self.refused_ms is not None
         self.assertGreater(self.refused_ms, 2_000)
--- a/chestnutfall/tests/test_gateway_broadcaster.py
+++ b/chestnutfall/tests/test_gateway_broadcaster.py
@@ -91,7 +91,7 @@
         self._send(HOLDINGS_INTERVAL_MS)
         self.assertEqual(list(self.holders.of(gone)), [])
 
-    def test_adapters_that_come_and_go_cost_little(self) -> None:
+    def test_short_lived_holdings_take_few_bytes(self) -> None:
         # Each engine loads four adapters per second; two of its seven slots keep popular ones.
         rng = random.Random(1)
         self._send(HOLDINGS_INTERVAL_MS)
--- a/chestnutfall/tests/test_leader_rush.py
+++ b/chestnutfall/tests/test_leader_rush.py
@@ -1,9 +1,8 @@
-"""All gateways come to a new leader at once.
+"""All gateways connect to a new leader at once.
 
-Each gateway waits a quarter of a second for the leader's first message, then disconnects and
-connects again. If each connection and disconnection were sent to all gateways, that work would
-delay the first messages further, and callers of a quarter of the gateways would be refused for ten
-seconds although the leader serves the others.
+A gateway that gets no first message within a quarter of a second disconnects and connects again. If
+each join and leave were sent to all gateways, that work would delay the first messages further, and
+a quarter of the gateways would refuse callers for ten seconds although a leader serves the others.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 from ..settings.quota_bounds import STRICT_QUOTA_BOUNDS
 from ..settings.repeat_bounds import RepeatBounds
 from .fakes import FakeCluster
-from .fakes.taking_engines import TakingEngines
+from .fakes.accepting_engines import AcceptingEngines
 
 GATEWAYS = 40
 
@@ -42,7 +41,7 @@
             replica,
             replica.machine,
             DocumentJson(),
-            TakingEngines(),
+            AcceptingEngines(),
             self.cluster.clock,
             1000,
             RepeatBounds(0.2, 50, 10_000),
@@ -63,14 +62,14 @@
         self.term.add_gateway(session, -1)
         return session
 
-    async def test_reconnecting_gateways_cause_no_messages_to_others(self) -> None:
+    async def test_a_gateway_that_joins_and_leaves_causes_no_messages_to_others(self) -> None:
         first = self._join(0)
         self._drain(first)
         for number in range(1, GATEWAYS):
             self.term.remove_gateway(self._join(number))
         self.assertEqual(self._drain(first), [])
 
-    async def test_a_larger_gateway_count_is_sent_soon(self) -> None:
+    async def test_a_grown_gateway_count_is_sent_soon(self) -> None:
         first = self._join(0)
         for number in range(1, GATEWAYS):
             self._join(number)
@@ -80,7 +79,8 @@
         self.assertLessEqual(len(counts), 4)
 
     async def test_the_first_message_is_short(self) -> None:
-        # A document of a thousand routes occupies a gateway's link for a good part of a second.
+        # A document of a thousand routes takes a large part of a second on a gateway's link. If
+        # it came first, the wait for the first message would time out.
         messages = self._drain(self._join(0))
         self.assertIsInstance(messages[0], Controllers)
         self.assertLess(len(FLEET_CODEC.encode(messages[0])), 1_000)
@@ -95,7 +95,7 @@
 
 
 class FirstMessageTimeoutsTest(unittest.TestCase):
-    def test_the_timeout_of_a_silent_controller_grows_until_its_first_message(self) -> None:
+    def test_the_timeout_of_a_silent_controller_grows_until_it_sends_a_message(self) -> None:
         timeouts = FirstMessageTimeouts()
         waits = []
         for _ in range(6):
@@ -111,9 +111,10 @@
 
 
 class RecentGatewaysTest(unittest.TestCase):
-    def test_a_low_count_of_a_new_leader_does_not_raise_the_share(self) -> None:
-        # After an election, the leader counts only the first gateways that connect. If each of
-        # these used the slack of all gateways, upstreams would be flooded with repeats.
+    def test_a_new_leader_that_counts_few_raises_no_share_of_the_budget(self) -> None:
+        # After an election the leader counts only the first gateways to connect. If each of them
+        # used that count, it would spend the slack of all gateways, and repeats would flood
+        # upstreams.
         clock = ManualClock()
         recent = RecentGateways(clock)
         recent.note_count(90)
--- a/chestnutfall/tests/test_ownership.py
+++ b/chestnutfall/tests/test_ownership.py
@@ -72,7 +72,7 @@
         self.assertIsNot(self.office.owner(), owner)
         held = dict(self.engine.adapters)
         self.assertEqual(held, {})
-        acting = owner.desk._owners["engine-0"][1]
+        acting = owner.engine_owners._owners["engine-0"][1]
         owner.clock.thaw()
         self.assertFalse(await acting._loader.order(OrderKind.LOAD, "a1@1"))
         await self.office.clock.advance(20)
@@ -125,10 +125,10 @@
         entry = self.office.other(owner)
         await self.office.finish(entry.answer(entry.request("a1@1")))
         owner.agent.leaving = True
-        await self.office.finish(owner.desk.close())
+        await self.office.finish(owner.engine_owners.close())
         for _ in range(20):
             await self.office.clock.advance(50)
-            self.assertEqual(list(owner.desk.acting()), [])
+            self.assertEqual(list(owner.engine_owners.acting()), [])
         self.assertIsNot(self.office.owner(), owner)
         loads = self.engine.loads
         await self.office.finish(entry.answer(entry.request("a1@1")))
@@ -197,7 +197,7 @@
         # A report is requested before a load ends and arrives after it. If it were applied, it
         # would remove the slot, and with it the pins of tickets granted since.
         owner = self.office.owner()
-        acting = owner.desk._owners["engine-0"][1]
+        acting = owner.engine_owners._owners["engine-0"][1]
         first = self._start(owner, "a1@1")
         await self.office.clock.advance(100)
         self.engine.tokens = 100
--- a/chestnutfall/tests/test_soak.py
+++ b/chestnutfall/tests/test_soak.py
@@ -1,8 +1,9 @@
-"""A short run of real programs under random faults, the same ones each time.
+"""A short run of real programs under the random faults of a fixed seed.
 
-Whatever clients, operators and upstreams see must keep the promises while controllers and
-gateways are killed, paused and restarted and connections are harmed: no wrong bytes, no second
-run of what runs once, no "not run" of what ran, no configuration older than an acknowledged one.
+Controllers and gateways are killed, paused and restarted, and connections are delayed, reset and
+silenced. Clients, operators and upstreams must see no wrong bytes, no second run of a
+non-idempotent request, no "not run" for a request that ran, and no configuration that is older
+than an acknowledged one.
 """
 
 from __future__ import annotations
@@ -17,18 +18,18 @@
 
 LENGTH_S = 6.0
 SEED = 1
-LINES = 60
+MAX_LINES = 60
 
 
 def _print_logs(folder: Path) -> None:
-    """Show what the daemons wrote last; the folder is gone with the test."""
+    """Print the last lines of each daemon's log, since the test deletes the folder."""
     for log in sorted(folder.rglob("log")):
         print(f"--- {log.parent.name}")
-        print("\n".join(log.read_text("utf-8").splitlines()[-LINES:]))
+        print("\n".join(log.read_text("utf-8").splitlines()[-MAX_LINES:]))
 
 
 class SoakTest(unittest.TestCase):
-    def test_a_short_run_keeps_the_promises(self) -> None:
+    def test_a_short_run_violates_no_guarantee(self) -> None:
         logging.getLogger("aiohttp").setLevel(logging.CRITICAL)
         with tempfile.TemporaryDirectory(prefix="soak-") as folder:
             verdict = asyncio.run(SoakRun(SEED, LENGTH_S, Path(folder)).run())
