--- a/chestnutfall/tests/office_scenario.py
+++ b/chestnutfall/tests/office_scenario.py
@@ -76,7 +76,7 @@
 
     async def _call(self, client: StandInClient, rng: random.Random) -> None:
         while True:
-            gateway = self.office.front(rng.choice(self.office.gateways))
+            gateway = self.office.client_address(rng.choice(self.office.gateways))
             sent_s = time.monotonic()
             result = await client.send(gateway, rng.choice(ROUTES))
             self.answers.append(SentRequest(sent_s, result))
--- a/chestnutfall/tests/test_fatal_completions.py
+++ b/chestnutfall/tests/test_fatal_completions.py
@@ -10,7 +10,7 @@
 
 import unittest
 
-from soak.fatal_requests import ENDS_BEFORE_REFUSAL, LATER_ENDS
+from soak.fatal_requests import ENDS_BEFORE_REFUSAL, MAX_LATER_ENDS
 
 from ..requests import Executed, Refusal
 from .fakes.fake_office import FakeGateway, FakeOffice
@@ -47,7 +47,7 @@
         refusals = [
             await self._refused(gateways[attempt % len(gateways)]) for attempt in range(TRIES)
         ]
-        self.assertLessEqual(self._ends() - ends, LATER_ENDS)
+        self.assertLessEqual(self._ends() - ends, MAX_LATER_ENDS)
         self.assertIs(refusals[-1].executed, Executed.NO)
         self.assertEqual(refusals[-1].status, 503)
         for gateway in gateways:
--- a/chestnutfall/tests/test_fatal_processes.py
+++ b/chestnutfall/tests/test_fatal_processes.py
@@ -11,7 +11,7 @@
 import time
 import unittest
 
-from soak.fatal_requests import ENDS_BEFORE_REFUSAL, LEARN_S
+from soak.fatal_requests import ENDS_BEFORE_REFUSAL, QUARANTINE_DELAY_S
 
 from ..standin.engine_app import FATAL_EXIT, FATAL_PROMPT
 from .process_office import ProcessOffice, wait_until
@@ -40,7 +40,7 @@
     def test_the_fourth_copy_is_refused_and_the_engine_stays(self) -> None:
         for times in range(ENDS_BEFORE_REFUSAL):
             self._end_engine(times % GATEWAYS)
-        time.sleep(LEARN_S)
+        time.sleep(QUARANTINE_DELAY_S)
         for gateway in range(GATEWAYS):
             status, body = self.office.post(gateway, MODEL, FATAL_PROMPT)
             self.assertEqual(status, 503)
--- a/chestnutfall/tests/test_fatal_requests.py
+++ b/chestnutfall/tests/test_fatal_requests.py
@@ -15,7 +15,7 @@
 import unittest
 from pathlib import Path
 
-from soak.fatal_requests import CONTENTS, LATER_ENDS, FatalRequests
+from soak.fatal_requests import CONTENTS, MAX_LATER_ENDS, FatalRequests
 from soak.office import Office
 
 from ..platform.standin.client import ClientResult, StandInClient
@@ -52,11 +52,11 @@
             await self.office.stop()
 
     async def _check(self, route: str) -> None:
-        ends = await self.fatal.until_known(route)
+        ends = await self.fatal.send_until_quarantined(route)
         seen: list[ClientResult] = []
         while len(seen) < TRIES:
-            seen += await self.fatal.everywhere(route)
-        self.assertLessEqual(self.fatal.ends(route) - ends, LATER_ENDS)
+            seen += await self.fatal.send_to_each_gateway(route)
+        self.assertLessEqual(self.fatal.ends(route) - ends, MAX_LATER_ENDS)
         refused = [one for one in seen if not self.office.book.runs[one.request_id]]
         self.assertEqual({one.status for one in refused}, {503})
 
@@ -64,4 +64,4 @@
         """Wait until every gateway serves harmless requests on all routes."""
         for gateway in self.office.gateways:
             for route in ("once", "again", "draft", "long"):
-                await self.fatal.until_served(self.office.front(gateway), route)
+                await self.fatal.wait_until_served(self.office.client_address(gateway), route)
--- a/chestnutfall/tests/test_soak.py
+++ b/chestnutfall/tests/test_soak.py
@@ -33,7 +33,7 @@
         logging.getLogger("aiohttp").setLevel(logging.CRITICAL)
         with tempfile.TemporaryDirectory(prefix="soak-") as folder:
             verdict = asyncio.run(SoakRun(SEED, LENGTH_S, Path(folder)).run())
-            if verdict.broken:
+            if verdict.violations:
                 _print_logs(Path(folder))
-        self.assertEqual(verdict.broken, [])
+        self.assertEqual(verdict.violations, [])
         self.assertGreater(verdict.counts["answered"], 0)
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Real programs as separate processes under random faults, judged from outside."""
+"""Real programs as separate processes under random faults, checked by what clients observe."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -15,7 +15,7 @@
 
 
 def main() -> int:
-    """Play seeds and print a report of each; 1 if a promise was broken."""
+    """Play the seeds and print a report of each; return 1 if one violated a guarantee, else 0."""
     cli = argparse.ArgumentParser(prog="soak", description=__doc__)
     cli.add_argument("--seed", type=int, default=1, help="first seed")
     cli.add_argument("--seeds", type=int, default=1, help="seeds to play, one after another")
@@ -23,7 +23,7 @@
     cli.add_argument("--keep", type=Path, help="folder for the logs of seeds that fail")
     cli.add_argument("--regressions", action="store_true", help="play the seeds that ever failed")
     args = cli.parse_args()
-    # Broken connections are what this is about; the stand-ins' tracebacks of them say nothing.
+    # The faults break connections on purpose; tracebacks of that in the stand-ins are noise.
     logging.getLogger("aiohttp").setLevel(logging.CRITICAL)
     plan = [(seed, args.minutes) for seed in range(args.seed, args.seed + args.seeds)]
     if args.regressions:
@@ -37,14 +37,14 @@
     began = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="soak-") as folder:
         verdict = asyncio.run(SoakRun(seed, length_s, Path(folder)).run())
-        if verdict.broken and keep is not None:
+        if verdict.violations and keep is not None:
             keep.mkdir(parents=True, exist_ok=True)
             for log in Path(folder).glob("*/log"):
                 (keep / f"seed{seed}-{log.parent.name}.log").write_bytes(log.read_bytes())
     print(f"seed {seed}: {time.monotonic() - began:.0f} s")
     for line in verdict.lines():
         print(f"  {line}")
-    return not verdict.broken
+    return not verdict.violations
 
 
 if __name__ == "__main__":
--- a/soak/daemon.py
+++ b/soak/daemon.py
@@ -1,4 +1,4 @@
-"""One real program, started, harmed and ended from outside."""
+"""A real program as a child process that can be signalled, killed and started again."""
 
 from __future__ import annotations
 
@@ -16,12 +16,21 @@
 
 
 class Daemon:
-    """A gateway or controller on its own loopback address.
+    """A gateway or controller as a child process with its own loopback address and folder.
+
+    Parameters
+    ----------
+    module : str
+        Module that is started with `python -m`.
+    folder : Path
+        Folder for the settings file and the log.
 
     Attributes
     ----------
+    plan : NodePlan
+        Address, name and data folder.
     paused : bool
-        Whether it was stopped by SIGSTOP.
+        Whether the process is stopped by SIGSTOP.
     """
 
     def __init__(self, module: str, folder: Path, plan: NodePlan, ports: Ports) -> None:
@@ -35,9 +44,15 @@
         folder.mkdir(parents=True, exist_ok=True)
 
     async def start(self, first_start: bool) -> None:
-        """Start the process unless it runs; its output goes to a file in its folder."""
-        # Two faults may overlap on one daemon. A second process would outlive the run, since
-        # only the last one that was started is known by its handle.
+        """Start the process unless it runs; its output is appended to `log` in its folder.
+
+        Parameters
+        ----------
+        first_start : bool
+            Whether the settings allow it to found a group of controllers.
+        """
+        # Two faults may overlap on one daemon. Without the lock both could start a process, and
+        # the first one would outlive the run because only the last handle is kept.
         async with self._starting:
             if not self.is_running:
                 await self._start(first_start)
@@ -55,31 +70,31 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process is there."""
+        """Whether the process was started and has not ended."""
         return self._process is not None and self._process.returncode is None
 
     def signal(self, signum: signal.Signals) -> None:
-        """Send a signal to this very process."""
+        """Send a signal to the process, if it runs."""
         if self._process is not None and self._process.returncode is None:
             self.paused = signum is signal.SIGSTOP or (self.paused and signum is not signal.SIGCONT)
             self._process.send_signal(signum)
 
-    async def ended(self, within_s: float) -> bool:
-        """Wait for the end of the process."""
+    async def wait_ended(self, timeout_s: float) -> bool:
+        """Wait up to `timeout_s` for the end of the process and return whether it ended."""
         if self._process is None:
             return True
         try:
-            await asyncio.wait_for(self._process.wait(), within_s)
+            await asyncio.wait_for(self._process.wait(), timeout_s)
         except TimeoutError:
             return False
         return True
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """End the process by SIGKILL and wait for its end."""
         self.signal(signal.SIGKILL)
-        await self.ended(5)
+        await self.wait_ended(5)
         self.paused = False
 
     def wipe_disk(self) -> None:
-        """Lose everything that it stored."""
+        """Delete the data folder."""
         shutil.rmtree(self.plan.data_folder, ignore_errors=True)
--- a/soak/fatal_requests.py
+++ b/soak/fatal_requests.py
@@ -1,4 +1,4 @@
-"""Requests that end each upstream that runs them, and whether gateways stop sending them."""
+"""Requests that crash every upstream that runs them; gateways must quarantine them."""
 
 from __future__ import annotations
 
@@ -11,65 +11,81 @@
 from .office import Office
 
 ENDS_BEFORE_REFUSAL = 3
-"""Two upstreams may end under one request by chance, one after the other; a third is no chance."""
-LATER_ENDS = 3
-"""What users allow beyond that, once every gateway has had time to learn of it."""
-LEARN_S = 3.0
-"""Time in which every gateway learns of it."""
+"""Upstreams that may crash before a request is refused: two may crash under one by chance."""
+MAX_LATER_ENDS = 3
+"""Further crashes that are tolerated after every gateway had time to learn of the quarantine."""
+QUARANTINE_DELAY_S = 3.0
+"""Time in which every gateway learns of a quarantine."""
 CONTENTS = {"long": FATAL_BODY + b"stream", "again": FATAL_BODY + b"lookup"}
-"""Content by route: a stream that is resumed, and a lookup of a plain service."""
+"""Body by route: a resumable stream of an engine, and an idempotent call of a plain service."""
 SERVED_POLLS = 100
 POLL_S = 0.1
 
 
 class NotServed(AssertionError):
-    """A gateway does not serve usual requests within ten seconds."""
+    """A gateway did not serve harmless requests within ten seconds."""
 
 
 class FatalRequests:
-    """Sends them to the gateways of an office."""
+    """Sends fatal requests to the gateways of an office and counts the crashes."""
 
     def __init__(self, office: Office, client: StandInClient) -> None:
         self._office = office
         self._client = client
 
-    async def now_and_then(self, rng: random.Random, seen: list[ClientResult]) -> None:
-        """Send one or the other to some gateway again and again, until cancelled."""
+    async def send_until_cancelled(self, rng: random.Random, seen: list[ClientResult]) -> None:
+        """Send fatal requests to random gateways until cancelled; append each result to `seen`."""
         while True:
             await asyncio.sleep(rng.uniform(0.3, 1.2))
             route = rng.choice(list(CONTENTS))
-            front = self._office.front(rng.choice(self._office.gateways))
-            seen.append(await self._client.send(front, route, CONTENTS[route]))
+            address = self._office.client_address(rng.choice(self._office.gateways))
+            seen.append(await self._client.send(address, route, CONTENTS[route]))
 
-    async def until_known(self, route: str) -> int:
-        """Send until three upstreams ended and gateways could learn of it; ends so far."""
+    async def send_until_quarantined(self, route: str) -> int:
+        """Send until `ENDS_BEFORE_REFUSAL` upstreams crashed, then wait `QUARANTINE_DELAY_S`.
+
+        Returns
+        -------
+        int
+            Crashes under the body of `route` so far.
+
+        Raises
+        ------
+        NotServed
+        """
         while self.ends(route) < ENDS_BEFORE_REFUSAL:
-            await self.everywhere(route)
-        await asyncio.sleep(LEARN_S)
+            await self.send_to_each_gateway(route)
+        await asyncio.sleep(QUARANTINE_DELAY_S)
         return self.ends(route)
 
-    async def everywhere(self, route: str) -> list[ClientResult]:
-        """Send it once to each gateway, each time when upstreams are back."""
+    async def send_to_each_gateway(self, route: str) -> list[ClientResult]:
+        """Send the request once to each gateway, each time after upstreams serve again.
+
+        Raises
+        ------
+        NotServed
+        """
         seen = []
         for gateway in self._office.gateways:
-            front = self._office.front(gateway)
-            await self.until_served(front, route)
-            seen.append(await self._client.send(front, route, CONTENTS[route]))
+            address = self._office.client_address(gateway)
+            await self.wait_until_served(address, route)
+            seen.append(await self._client.send(address, route, CONTENTS[route]))
         return seen
 
-    async def until_served(self, front: str, route: str) -> None:
-        """Wait until a gateway serves what ends nobody.
+    async def wait_until_served(self, address: str, route: str) -> None:
+        """Wait until the gateway at `address` serves a harmless request.
 
         Raises
         ------
         NotServed
+            After ten seconds.
         """
         for _ in range(SERVED_POLLS):
-            if (await self._client.send(front, route)).status == 200:
+            if (await self._client.send(address, route)).status == 200:
                 return
             await asyncio.sleep(POLL_S)
-        raise NotServed(f"{route} is not served at {front}")
+        raise NotServed(f"{route} is not served at {address}")
 
     def ends(self, route: str) -> int:
-        """Upstreams that ended under the content of a route."""
+        """Return the number of crashes under the body of a route."""
         return self._office.book.ends[CONTENTS[route]]
--- a/soak/faults.py
+++ b/soak/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carrying out faults on an office."""
+"""Injection of planned faults into the processes and connections of an office."""
 
 from __future__ import annotations
 
@@ -9,58 +9,68 @@
 from .disturbances import Disturbances
 from .fault_plan import Fault
 from .office import Office
-from .relay import Harm
+from .relay import ConnectionFault
 
 GRACE_S = 9.0
-_HARMS = {
-    "delay_upstream": Harm.DELAY,
-    "reset_upstream": Harm.RESET,
-    "silence_answers": Harm.SILENCE_ANSWERS,
-    "silence_upstream": Harm.SILENCE,
+"""Time in which a daemon must end after SIGTERM."""
+_CONNECTION_FAULTS = {
+    "delay_upstream": ConnectionFault.DELAY,
+    "reset_upstream": ConnectionFault.RESET,
+    "silence_answers": ConnectionFault.SILENCE_ANSWERS,
+    "silence_upstream": ConnectionFault.SILENCE,
 }
 
 
-class Faults:
-    """Plays faults; never takes more controllers than the office tolerates."""
+class FaultInjector:
+    """Injects faults into an office and records those that affect gateways and upstreams.
+
+    Faults of controllers run one at a time, so that a majority keeps running, except for
+    `kill_all_controllers`, which restarts all of them at once.
+
+    Attributes
+    ----------
+    unfinished_drains : int
+        Restarts in which the daemon did not end within `GRACE_S` and was killed.
+    """
 
     def __init__(self, office: Office, disturbances: Disturbances) -> None:
         self._office = office
         self._disturbances = disturbances
-        self._controllers = asyncio.Lock()
+        self._controllers_lock = asyncio.Lock()
         self.unfinished_drains = 0
 
-    async def play(self, fault: Fault) -> None:
-        """Carry out `fault` and end it."""
+    async def inject(self, fault: Fault) -> None:
+        """Inject `fault`, wait for its duration and undo it."""
         controller = self._office.controllers[fault.target % len(self._office.controllers)]
         gateway = self._office.gateways[fault.target % len(self._office.gateways)]
         match fault.kind:
             case "kill_controller" | "wipe_controller":
                 await self._replace(controller, fault, fault.kind == "wipe_controller")
             case "pause_controller":
-                async with self._controllers:
+                async with self._controllers_lock:
                     await self._pause(controller, fault.for_s)
             case "restart_controller":
-                async with self._controllers:
+                async with self._controllers_lock:
                     await self._restart(controller)
                     await asyncio.sleep(2.5)
             case "kill_all_controllers":
-                async with self._controllers:
+                async with self._controllers_lock:
                     await asyncio.gather(*(one.kill() for one in self._office.controllers))
                     await asyncio.gather(*(one.start(False) for one in self._office.controllers))
                     await asyncio.sleep(2.5)
             case "kill_gateway" | "pause_gateway" | "restart_gateway":
-                with self._disturbances.on(self._office.front(gateway)):
-                    await self._disturb(gateway, fault)
+                with self._disturbances.recorded(self._office.client_address(gateway)):
+                    await self._fault_gateway(gateway, fault)
             case "reload_gateway":
                 gateway.signal(signal.SIGHUP)
             case "reset_connections":
                 relay = self._office.relays[fault.target % len(self._office.relays)]
-                with self._disturbances.on(relay.address):
+                with self._disturbances.recorded(relay.address):
                     relay.reset_all()
             case kind:
-                await self._harm(fault, _HARMS[kind])
+                await self._fault_connections(fault, _CONNECTION_FAULTS[kind])
 
-    async def _disturb(self, gateway: Daemon, fault: Fault) -> None:
+    async def _fault_gateway(self, gateway: Daemon, fault: Fault) -> None:
         match fault.kind:
             case "kill_gateway":
                 await gateway.kill()
@@ -72,7 +82,7 @@
                 await self._restart(gateway)
 
     async def _replace(self, controller: Daemon, fault: Fault, wipe: bool) -> None:
-        async with self._controllers:
+        async with self._controllers_lock:
             await controller.kill()
             if wipe:
                 controller.wipe_disk()
@@ -89,16 +99,16 @@
     async def _restart(self, daemon: Daemon) -> None:
         daemon.signal(signal.SIGCONT)
         daemon.signal(signal.SIGTERM)
-        if not await daemon.ended(GRACE_S):
+        if not await daemon.wait_ended(GRACE_S):
             self.unfinished_drains += 1
             await daemon.kill()
         await daemon.start(False)
 
-    async def _harm(self, fault: Fault, harm: Harm) -> None:
+    async def _fault_connections(self, fault: Fault, connection_fault: ConnectionFault) -> None:
         relay = self._office.relays[fault.target % len(self._office.relays)]
-        with self._disturbances.on(relay.address):
-            relay.harm = harm
+        with self._disturbances.recorded(relay.address):
+            relay.fault = connection_fault
             await asyncio.sleep(fault.for_s)
-            relay.harm = Harm.NONE
-            if harm in (Harm.SILENCE, Harm.SILENCE_ANSWERS):
+            relay.fault = ConnectionFault.NONE
+            if connection_fault in (ConnectionFault.SILENCE, ConnectionFault.SILENCE_ANSWERS):
                 relay.reset_all()
--- a/soak/fault_plan.py
+++ b/soak/fault_plan.py
@@ -1,4 +1,4 @@
-"""Random faults, one after another and overlapping."""
+"""The random plan of faults of a run, from its seed."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-KINDS = (
+FAULT_KINDS = (
     "kill_controller",
     "pause_controller",
     "wipe_controller",
@@ -26,7 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: when it begins, how long it lasts, and on which of its kind it falls."""
+    """One planned fault.
+
+    Attributes
+    ----------
+    kind : str
+        One of `FAULT_KINDS`.
+    at_s, for_s : float
+        Begin, from the start of the run, and duration. Faults without a duration ignore it.
+    target : int
+        Number of the affected controller, gateway or relay, modulo how many there are.
+    """
 
     kind: str
     at_s: float
@@ -35,9 +45,9 @@
 
 
 def plan_faults(rng: random.Random, length_s: float) -> Iterator[Fault]:
-    """Yield faults until `length_s`; about every third overlaps the one before it."""
+    """Yield faults in order of `at_s` until `length_s`; about a third may overlap the next one."""
     at_s = 0.5
     while at_s < length_s:
         for_s = rng.uniform(0.3, 2.0)
-        yield Fault(rng.choice(KINDS), at_s, for_s, rng.randrange(16))
+        yield Fault(rng.choice(FAULT_KINDS), at_s, for_s, rng.randrange(16))
         at_s += rng.uniform(0.2, 1.2) if rng.random() < 0.33 else for_s + rng.uniform(0.5, 2.5)
--- a/soak/named_limits.py
+++ b/soak/limit_episodes.py
@@ -1,4 +1,4 @@
-"""Upstreams that name limits now and then, and whether they get no more than that."""
+"""Upstreams that declare request limits, and a check that they get no more requests than that."""
 
 from __future__ import annotations
 
@@ -17,27 +17,37 @@
 
 @dataclass(frozen=True, slots=True)
 class _Episode:
-    """One upstream's limit, until it ended."""
+    """The limits that an incarnation of an upstream declared, one after another.
+
+    Attributes
+    ----------
+    instance : str
+        The incarnation.
+    history : LimitHistory
+        Limits and the times of their first declaration.
+    end_ms : float
+        Time from which it declared none, by `_now_ms`.
+    """
 
     instance: str
     history: LimitHistory
     end_ms: float
 
 
-class NamedLimits:
-    """Lets one upstream after another name a limit, which may fall before it ends."""
+class LimitEpisodes:
+    """Lets one upstream at a time declare a limit that falls to a third after some seconds."""
 
     def __init__(self, office: Office) -> None:
         self._office = office
         self._episodes: list[_Episode] = []
 
-    async def now_and_then(self, rng: random.Random) -> None:
-        """Name limits again and again, until cancelled."""
+    async def play_until_cancelled(self, rng: random.Random) -> None:
+        """Start one episode after another until cancelled."""
         while True:
             await asyncio.sleep(rng.uniform(0.2, 1.5))
-            await self._name(rng.choice(self._office.upstreams), rng)
+            await self._play_episode(rng.choice(self._office.upstreams), rng)
 
-    async def _name(self, upstream: StandInUpstream, rng: random.Random) -> None:
+    async def _play_episode(self, upstream: StandInUpstream, rng: random.Random) -> None:
         history = LimitHistory()
         instance = upstream.instance
         per_s = rng.uniform(6.0, 12.0)
@@ -51,8 +61,8 @@
             upstream.limit = None
             self._episodes.append(_Episode(instance, history, _now_ms()))
 
-    def judge(self, book: RunRegistry, verdict: Verdict) -> None:
-        """Whether anybody got more than it said it takes."""
+    def check(self, book: RunRegistry, verdict: Verdict) -> None:
+        """Note each episode in which an upstream got more requests than its limits allow."""
         verdict.counts["limits named"] = len(self._episodes)
         for one in self._episodes:
             moments = [at_s * 1000 for at_s in book.arrival_times_s.get(one.instance, [])]
@@ -60,7 +70,7 @@
             for excess in one.history.excesses(in_time):
                 limits = [f"{per_s:.1f}" for _, per_s in one.history.announced]
                 finding = f"{one.instance} named {limits} a second and got {excess.got} in a window"
-                verdict.note(True, f"{finding} of {excess.allowed:.0f}")
+                verdict.note_violation(True, f"{finding} of {excess.allowed:.0f}")
                 break
 
 
--- a/soak/office.py
+++ b/soak/office.py
@@ -1,4 +1,4 @@
-"""An office of real daemons and stand-in upstreams."""
+"""A deployment of real gateways and controllers with stand-in upstreams."""
 
 from __future__ import annotations
 
@@ -22,16 +22,29 @@
 
 
 class Office:
-    """Everything that one soak run starts."""
+    """The controllers, gateways, upstreams and relays of one soak run.
+
+    Every upstream is behind a relay, whose address it announces.
+
+    Attributes
+    ----------
+    book : RunBook
+        What the upstreams ran and received.
+    control_addresses : list of str
+        Addresses of the controllers for operators and announcements.
+    upstreams, relays : list
+        In the same order; empty before `start`.
+    """
 
     def __init__(self, folder: Path, rng: random.Random) -> None:
         self._rng = rng
-        # Two draws that earlier runs spent on addresses: seeds that ever failed play as they did.
+        # Two unused draws. Addresses were once drawn here; without the draws, seeds that failed
+        # before would play differently.
         rng.randrange(20, 120), rng.randrange(1, 250)
         self.book = RunRegistry()
-        net = _own_net()
+        network = _process_network()
         self._ports = Ports(*_free_ports(4))
-        ips = [f"{net}.{at + 1}" for at in range(CONTROLLERS)]
+        ips = [f"{network}.{at + 1}" for at in range(CONTROLLERS)]
         seeds = tuple(ips)
         self.controllers = [
             Daemon(
@@ -46,7 +59,7 @@
             Daemon(
                 "chestnutfall.platform.gateway",
                 folder / f"g{at}",
-                NodePlan(f"{net}.{at + 101}", f"g{at}", "", seeds, True),
+                NodePlan(f"{network}.{at + 101}", f"g{at}", "", seeds, True),
                 self._ports,
             )
             for at in range(GATEWAYS)
@@ -55,8 +68,8 @@
         self.upstreams: list[StandInUpstream] = []
         self.relays: list[Relay] = []
 
-    def front(self, gateway: Daemon) -> str:
-        """Where clients reach a gateway."""
+    def client_address(self, gateway: Daemon) -> str:
+        """Return the address at which clients reach a gateway."""
         return f"{gateway.plan.ip}:{self._ports.front}"
 
     async def start(self) -> None:
@@ -77,18 +90,19 @@
         self.relays.append(relay)
 
     async def stop(self) -> None:
-        """End everything that was started, by its own handle."""
+        """Stop every relay, upstream and daemon that was started."""
         for relay in self.relays:
             await relay.stop()
         await asyncio.gather(*(one.stop() for one in self.upstreams))
         await asyncio.gather(*(one.kill() for one in (*self.controllers, *self.gateways)))
 
 
-def _own_net() -> str:
-    """Addresses that no other run on this host has.
+def _process_network() -> str:
+    """Return the first three octets of a loopback network for this process.
 
-    Taken from the seed, two runs of one seed at the same time had the same addresses, and the
-    daemons of one answered the clients of the other.
+    They come from the process id and not from the seed. With addresses from the seed, two
+    simultaneous runs of one seed shared addresses, and the daemons of one answered the clients of
+    the other.
     """
     pid = os.getpid()
     return f"127.{20 + (pid >> 8) % 100}.{pid % 256}"
--- a/soak/regressions.py
+++ b/soak/regressions.py
@@ -1,4 +1,4 @@
-"""Seeds that ever showed a broken promise, and why."""
+"""Seeds that once violated a guarantee, with the cause."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Regression:
-    """A seed, the minutes under faults that showed it, and its cause."""
+    """A seed, the minutes under faults in which it violated a guarantee, and the cause."""
 
     seed: int
     minutes: float
--- a/soak/relay.py
+++ b/soak/relay.py
@@ -1,4 +1,4 @@
-"""A loopback relay that harms the connections that pass through it."""
+"""A TCP relay on the loopback interface that injects faults into its connections."""
 
 from __future__ import annotations
 
@@ -9,8 +9,12 @@
 CHUNK_BYTES = 16 * 1024
 
 
-class Harm(Enum):
-    """What a relay does to bytes."""
+class ConnectionFault(Enum):
+    """A fault that a relay injects.
+
+    DELAY delays every chunk by 0.2 s, RESET resets new connections, SILENCE drops the bytes of both
+    directions, and SILENCE_ANSWERS drops those from the target only.
+    """
 
     NONE = "none"
     DELAY = "delay"
@@ -20,24 +24,32 @@
 
 
 class Relay:
-    """Passes connections on to `target`, as well as `harm` allows."""
+    """Forwards connections to `target` and applies the present fault to them.
+
+    Attributes
+    ----------
+    fault : ConnectionFault
+        Fault that is applied now, also to open connections unless it is RESET.
+    address : str
+        Address on which it listens, valid after `start`.
+    """
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
         self._target = (host, int(port))
-        self.harm = Harm.NONE
+        self.fault = ConnectionFault.NONE
         self.address = "127.0.0.1:0"
         self._server: asyncio.Server | None = None
         self._open: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen on a free port; on the same one again after `refuse`."""
+        """Listen on a free port, or on the previous one after `refuse`."""
         host, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(self._on_connection, host, int(port))
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     def refuse(self) -> None:
-        """Close the port and every connection, as a host does whose process ended."""
+        """Close the port and reset every connection, as when the target's process has ended."""
         if self._server is not None:
             self._server.close()
         self.reset_all()
@@ -48,36 +60,39 @@
             writer.transport.abort()
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the port and reset every connection."""
         self.refuse()
 
     async def _on_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self.harm is Harm.RESET:
+        if self.fault is ConnectionFault.RESET:
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self._target)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
             writer.transport.abort()
             return
-        self._open |= {writer, far_writer}
-        ways = (self._pass(reader, far_writer, False), self._pass(far_reader, writer, True))
-        await asyncio.gather(*ways, return_exceptions=True)
-        self._open -= {writer, far_writer}
+        self._open |= {writer, target_writer}
+        directions = (
+            self._forward(reader, target_writer, False),
+            self._forward(target_reader, writer, True),
+        )
+        await asyncio.gather(*directions, return_exceptions=True)
+        self._open -= {writer, target_writer}
 
-    async def _pass(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_answer: bool
     ) -> None:
         try:
             while data := await reader.read(CHUNK_BYTES):
-                match self.harm:
-                    case Harm.DELAY:
+                match self.fault:
+                    case ConnectionFault.DELAY:
                         await asyncio.sleep(0.2)
-                    case Harm.SILENCE:
+                    case ConnectionFault.SILENCE:
                         continue
-                    case Harm.SILENCE_ANSWERS if is_answer:
+                    case ConnectionFault.SILENCE_ANSWERS if is_answer:
                         continue
                     case _:
                         pass
--- a/soak/verdict.py
+++ b/soak/verdict.py
@@ -1,4 +1,4 @@
-"""What a run showed."""
+"""The result of a soak run."""
 
 from __future__ import annotations
 
@@ -8,17 +8,25 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """Counts of what happened, and every broken promise."""
+    """Counts of events and the violated guarantees of a run.
+
+    Attributes
+    ----------
+    counts : Counter of str
+        Number of events by description, for the report.
+    violations : list of str
+        One description for each violation that was noted; empty if the run passed.
+    """
 
     counts: Counter[str] = field(default_factory=Counter)
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
-    def note(self, broken: bool, finding: str) -> None:
-        """Note a finding if a promise was broken."""
-        if broken:
-            self.broken.append(finding)
+    def note_violation(self, violated: bool, finding: str) -> None:
+        """Add `finding` to the violations if `violated`."""
+        if violated:
+            self.violations.append(finding)
 
     def lines(self) -> list[str]:
-        """The report."""
+        """Return the report: counts by name, then the violations."""
         counted = [f"{name}: {count}" for name, count in sorted(self.counts.items())]
-        return [*counted, *(f"BROKEN {finding}" for finding in self.broken)]
+        return [*counted, *(f"BROKEN {finding}" for finding in self.violations)]
