--- a/properties/__init__.py
+++ b/properties/__init__.py
@@ -1,1 +1,1 @@
-"""Property tests (Hypothesis)."""
+"""Property tests with Hypothesis, mutants of the safeguards, and ablations."""
--- a/properties/ablation_list.py
+++ b/properties/ablation_list.py
@@ -1,4 +1,4 @@
-"""Every mechanism that is switched off by one change of the source."""
+"""Mechanisms that a single change of the source switches off, for `ablations`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from .safeguards import MUTANTS
 
 _PLACEMENT = "chestnutfall/placement"
-_PROVED = frozenset(
+_TESTED_MECHANISMS = frozenset(
     {
         "reading is not paced",
         "short prompts pass long ones by",
@@ -22,8 +22,8 @@
         "requests whose adapters load take places of the batch",
     }
 )
-"""Mutants that take out a mechanism that is meant to pay, not a promise."""
-_UNPROVED = (
+"""Names of the mutants that remove a performance mechanism and not a guarantee."""
+_UNTESTED_MECHANISMS = (
     Mutant(
         "urgent prompts wait like others",
         f"{_PLACEMENT}/prefill_turns.py",
@@ -61,5 +61,5 @@
         "",
     ),
 )
-"""Changes without a test of their own; `test` is empty."""
-ABLATIONS = (*(one for one in MUTANTS if one.name in _PROVED), *_UNPROVED)
+"""Mechanisms that no test covers; `test` is empty."""
+ABLATIONS = (*(one for one in MUTANTS if one.name in _TESTED_MECHANISMS), *_UNTESTED_MECHANISMS)
--- a/properties/ablations.py
+++ b/properties/ablations.py
@@ -38,16 +38,16 @@
 
 
 def _worths(args: argparse.Namespace, tree: Path, name: str) -> list[float]:
-    games = [(day, seed) for seed in args.seeds.split(",") for day in args.days.split(",")]
+    runs = [(day, seed) for seed in args.seeds.split(",") for day in args.days.split(",")]
     with ThreadPoolExecutor(args.at_once) as pool:
-        plays = [
-            pool.submit(_play, args.bench, tree, args.site, day, seed, name) for day, seed in games
+        results = [
+            pool.submit(_play, args.bench, tree, args.site, day, seed, name) for day, seed in runs
         ]
-        return [worth for play in plays if (worth := play.result()) is not None]
+        return [worth for result in results if (worth := result.result()) is not None]
 
 
 def main() -> int:
-    """Print one row for the whole and for each mechanism."""
+    """Print a row for the unchanged tree and one for each mechanism; return 0."""
     cli = argparse.ArgumentParser(prog="ablations", description=__doc__)
     cli.add_argument("bench")
     cli.add_argument("site")
--- a/properties/mutant.py
+++ b/properties/mutant.py
@@ -1,4 +1,4 @@
-"""One safeguard and the test that proves it."""
+"""A change of the source that removes a safeguard, and the test that detects it."""
 
 from __future__ import annotations
 
@@ -7,16 +7,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """A change that takes a safeguard out.
+    """A change of one source file that removes a safeguard or a mechanism.
 
     Attributes
     ----------
+    name : str
+        Fault that the change introduces, unique among the mutants.
     file : str
-        Source file below the root.
+        Source file, relative to the root of the repository.
     safeguard, without : str
-        Text that stands there exactly once, and what replaces it.
+        Text that occurs exactly once in the file, and its replacement.
     test : str
-        Test module, class or method that must fail then.
+        Test module, class or method that must fail with the change; empty if there is none.
     """
 
     name: str
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -18,7 +18,8 @@
 from .safeguards import MUTANTS
 
 TIMEOUT_S = 90
-AT_ONCE = 4
+"""Time after which a test that doesn't end counts as failed."""
+MAX_PARALLEL = 4
 
 
 def _result(mutant: Mutant) -> str:
@@ -44,11 +45,11 @@
 
 
 def main() -> int:
-    """Run the chosen mutants; 1 if one survives."""
+    """Run the chosen mutants and print a row for each; return 1 if one survives, else 0."""
     wanted = sys.argv[1] if len(sys.argv) > 1 else ""
     chosen = [mutant for mutant in MUTANTS if wanted in mutant.name]
     survived = 0
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    with ThreadPoolExecutor(MAX_PARALLEL) as pool:
         for mutant, result in zip(chosen, pool.map(_result, chosen), strict=True):
             survived += not result.startswith("fails")
             test = mutant.test.removeprefix("chestnutfall.tests.")
--- a/properties/mutated_tree.py
+++ b/properties/mutated_tree.py
@@ -1,4 +1,4 @@
-"""A copy of the tree with one change of its source."""
+"""Copies of the repository with one change of the source."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class NotApplicable(ValueError):
-    """The text that a change replaces is not there exactly once."""
+    """The text that a mutant replaces does not occur exactly once in its file."""
 
 
 def mutated_tree(tree: Path, mutant: Mutant | None) -> None:
-    """Copy the tree to `tree`, with the mutant's change if there is one.
+    """Copy the repository to `tree`, which must not exist, and apply `mutant` if it is not None.
 
     Raises
     ------
@@ -28,5 +28,7 @@
     path = tree / mutant.file
     source = path.read_text("utf-8")
     if source.count(mutant.safeguard) != 1:
-        raise NotApplicable("the safeguard's text is not there exactly once")
+        raise NotApplicable(
+            f"the text of {mutant.name!r} does not occur exactly once in {mutant.file}"
+        )
     path.write_text(source.replace(mutant.safeguard, mutant.without), "utf-8")
--- a/properties/safeguards/__init__.py
+++ b/properties/safeguards/__init__.py
@@ -1,4 +1,4 @@
-"""Every safeguard that has a proof, by subject."""
+"""Mutants of every safeguard that a test covers, by subject."""
 
 from __future__ import annotations
 
--- a/properties/safeguards/caller_mutants.py
+++ b/properties/safeguards/caller_mutants.py
@@ -7,7 +7,7 @@
 _OWNER = "chestnutfall/ownership/engine_owner.py"
 _LOADER = "chestnutfall/ownership/adapter_loader.py"
 _DISPATCHER = "chestnutfall/routing/dispatcher.py"
-_CHECKS = "chestnutfall/engine_edge/answer_validator.py"
+_VALIDATOR = "chestnutfall/engine_edge/answer_validator.py"
 _AGENT = "chestnutfall/membership/gateway_agent.py"
 _UPSTREAM = "chestnutfall/membership/upstream.py"
 _CLAIMS = "chestnutfall/routing/claim_client.py"
@@ -15,7 +15,7 @@
 _OWNERSHIP_TEST = "chestnutfall.tests.test_ownership"
 _CONFIG_TEST = "chestnutfall.tests.test_configuration_in_force"
 _ONCE_TEST = "chestnutfall.tests.test_at_most_once"
-_LEASE = "        if self.leaving or self._clock.now_ms() >= self._lease_until_ms:"
+_LEASE_CHECK = "        if self.leaving or self._clock.now_ms() >= self._lease_until_ms:"
 _SERVING_STATE = '        return is_current and self.announcement.state == "serving"'
 
 CALLER_MUTANTS = (
@@ -57,14 +57,14 @@
     Mutant(
         "owner goes on while it leaves",
         _AGENT,
-        _LEASE,
+        _LEASE_CHECK,
         "        if self._clock.now_ms() >= self._lease_until_ms:",
         _OWNERSHIP_TEST,
     ),
     Mutant(
         "owner goes on when its lease is over",
         _AGENT,
-        _LEASE,
+        _LEASE_CHECK,
         "        if self.leaving:",
         _OWNERSHIP_TEST,
     ),
@@ -105,35 +105,35 @@
     ),
     Mutant(
         "model in the answer not checked",
-        _CHECKS,
+        _VALIDATOR,
         "        if answered_model != self._model:",
         "        if False:",
         _FAULTS_TEST,
     ),
     Mutant(
         "another request's answer not noticed",
-        _CHECKS,
+        _VALIDATOR,
         "                if self._attempt_id_bytes not in event.data:",
         "                if False:",
         _FAULTS_TEST,
     ),
     Mutant(
         "events passed on twice",
-        _CHECKS,
+        _VALIDATOR,
         "            if event.number and event.number <= self.last_number:",
         "            if False:",
         _FAULTS_TEST,
     ),
     Mutant(
         "missing event not noticed",
-        _CHECKS,
+        _VALIDATOR,
         "            if event.number and event.number != self.last_number + 1:",
         "            if False:",
         _FAULTS_TEST,
     ),
     Mutant(
         "short answer looks whole",
-        _CHECKS,
+        _VALIDATOR,
         "        if self.whole:\n            return None",
         "        if self.last_number:\n            self.whole = True\n            return None",
         _FAULTS_TEST,
--- a/properties/safeguards/control_mutants.py
+++ b/properties/safeguards/control_mutants.py
@@ -1,4 +1,4 @@
-"""Safeguards of what controllers decide and of configuration."""
+"""Mutants of the safeguards of the controllers' decisions and of the configuration."""
 
 from __future__ import annotations
 
--- a/properties/safeguards/fleet_mutants.py
+++ b/properties/safeguards/fleet_mutants.py
@@ -1,4 +1,4 @@
-"""Safeguards between gateways, the leader and engines on the platform."""
+"""Mutants of the safeguards between gateways, the leader and engines on the platform."""
 
 from __future__ import annotations
 
--- a/properties/safeguards/limit_mutants.py
+++ b/properties/safeguards/limit_mutants.py
@@ -4,9 +4,9 @@
 
 from ..mutant import Mutant
 
-_PARTS = "chestnutfall.tests.test_limit_parts"
-_TOGETHER = "chestnutfall.tests.test_limits_together.LimitsTogetherTest"
-_COMPLETIONS = "chestnutfall.tests.test_limited_completions"
+_PARTS_TEST = "chestnutfall.tests.test_limit_parts"
+_TOGETHER_TEST = "chestnutfall.tests.test_limits_together.LimitsTogetherTest"
+_COMPLETIONS_TEST = "chestnutfall.tests.test_limited_completions"
 
 LIMIT_MUTANTS = (
     Mutant(
@@ -14,35 +14,35 @@
         "chestnutfall/limits/latest_limit.py",
         "        overlaps = sent_ms < self.received_ms",
         "        overlaps = False",
-        _PARTS,
+        _PARTS_TEST,
     ),
     Mutant(
         "what was heard long ago is taken for new",
         "chestnutfall/limits/latest_limit.py",
         "        if self.sent_ms > received_ms:",
         "        if False:",
-        _PARTS,
+        _PARTS_TEST,
     ),
     Mutant(
         "a new limit begins with a full burst",
         "chestnutfall/limits/upstream_limit.py",
         "TokenBucket(per_s, size, level, now_ms)",
         "TokenBucket(per_s, size, size, now_ms)",
-        _PARTS,
+        _PARTS_TEST,
     ),
     Mutant(
         "a lower limit begins with what the higher one left",
         "chestnutfall/limits/upstream_limit.py",
         "        if falls:",
         "        if False:",
-        _PARTS,
+        _PARTS_TEST,
     ),
     Mutant(
         "an upstream that takes nothing is never asked again",
         "chestnutfall/limits/upstream_limit.py",
         "MIN_PER_S = 0.2",
         "MIN_PER_S = 1e-9",
-        f"{_TOGETHER}.test_an_upstream_that_took_nothing_is_found_when_it_takes_work_again",
+        f"{_TOGETHER_TEST}.test_an_upstream_that_took_nothing_is_found_when_it_takes_work_again",
     ),
     Mutant(
         "calls that wait for an engine's load keep their place when it names a limit",
@@ -56,7 +56,7 @@
         "chestnutfall/placement/engine_selector.py",
         "not engine.has_room(req) or engine.send_wait_ms(self._now_ms):",
         "not engine.has_room(req):",
-        f"{_TOGETHER}.test_any_number_of_gateways_keeps_a_limit_and_uses_it",
+        f"{_TOGETHER_TEST}.test_any_number_of_gateways_keeps_a_limit_and_uses_it",
     ),
     Mutant(
         "a new leader is not told of limits",
@@ -64,21 +64,21 @@
         "        return tuple("
         "_as_report(name, latest, now_ms) for name, latest in self._latest.items())",
         "        return ()",
-        f"{_TOGETHER}.test_leaders_that_change_while_answers_are_slow",
+        f"{_TOGETHER_TEST}.test_leaders_that_change_while_answers_are_slow",
     ),
     Mutant(
         "gateways without a leader send as they like",
         "chestnutfall/limits/known_limits.py",
         "        return per_s is None or self._leaderless.try_send(instance, per_s)",
         "        return True",
-        f"{_TOGETHER}.test_gateways_without_a_leader_keep_a_limit_together",
+        f"{_TOGETHER_TEST}.test_gateways_without_a_leader_keep_a_limit_together",
     ),
     Mutant(
         "each gateway without a leader has the whole limit",
         "chestnutfall/limits/leaderless_limits.py",
         "self._fraction * max(per_s, MIN_PER_S) / max(self._gateways(), 1)",
         "max(per_s, MIN_PER_S)",
-        f"{_TOGETHER}.test_gateways_that_are_cut_off_keep_a_limit_with_the_others",
+        f"{_TOGETHER_TEST}.test_gateways_that_are_cut_off_keep_a_limit_with_the_others",
     ),
     Mutant(
         "a gateway that missed the end of a limit is not told",
@@ -99,14 +99,14 @@
         "chestnutfall/forwarding/plain_selector.py",
         "        if self._signals.limits.per_s(chosen.instance) is not None:",
         "        if False:",
-        f"{_TOGETHER}.test_any_number_of_gateways_keeps_a_limit_and_uses_it",
+        f"{_TOGETHER_TEST}.test_any_number_of_gateways_keeps_a_limit_and_uses_it",
     ),
     Mutant(
         "turns go by arrival, whosever calls they are",
         "chestnutfall/limits/plain_send_queues.py",
         "        return self.asked.rank, self.tag, self.since_ms",
         "        return self.asked.rank, 0.0, self.since_ms",
-        f"{_TOGETHER}.test_organisations_share_what_limited_upstreams_allow",
+        f"{_TOGETHER_TEST}.test_organisations_share_what_limited_upstreams_allow",
     ),
     Mutant(
         "what was granted lately tells how fast limited engines go on",
@@ -120,28 +120,28 @@
         "chestnutfall/ownership/engine_owner.py",
         "        if self._send_limit.wait_ms(0):\n            return\n",
         "",
-        _COMPLETIONS,
+        _COMPLETIONS_TEST,
     ),
     Mutant(
         "the next owner is not told of the limit",
         "chestnutfall/ownership/engine_owner.py",
         "        if req.limit is not None:",
         "        if False:",
-        _COMPLETIONS,
+        _COMPLETIONS_TEST,
     ),
     Mutant(
         "runs that are resumed come on top of the limit",
         "chestnutfall/routing/dispatcher.py",
         "                    self._links.report_resume(engine.name)\n",
         "",
-        _COMPLETIONS,
+        _COMPLETIONS_TEST,
     ),
     Mutant(
         "moments are forgotten only when they are counted",
         "chestnutfall/clock/sliding_window.py",
         "        self._drop_expired(now_ms)\n        self._event_times_ms.append(now_ms)",
         "        self._event_times_ms.append(now_ms)",
-        _PARTS,
+        _PARTS_TEST,
     ),
     Mutant(
         "plain services are called by turns whatever they take",
--- a/properties/safeguards/placement_mutants.py
+++ b/properties/safeguards/placement_mutants.py
@@ -1,4 +1,4 @@
-"""Safeguards of the placement of requests and adapters."""
+"""Mutants of the safeguards of the placement of requests and adapters."""
 
 from __future__ import annotations
 
--- a/properties/safeguards/quarantine_mutants.py
+++ b/properties/safeguards/quarantine_mutants.py
@@ -4,9 +4,9 @@
 
 from ..mutant import Mutant
 
-_LEDGER = "chestnutfall.tests.test_crash_ledger"
-_KEEPER = "chestnutfall.tests.test_crash_monitor"
-_FORWARDER = "chestnutfall.tests.test_forwarder"
+_LEDGER_TEST = "chestnutfall.tests.test_crash_ledger"
+_MONITOR_TEST = "chestnutfall.tests.test_crash_monitor"
+_FORWARDER_TEST = "chestnutfall.tests.test_forwarder"
 
 QUARANTINE_MUTANTS = (
     Mutant(
@@ -14,7 +14,7 @@
         "chestnutfall/forwarding/forwarder.py",
         "        if retry_ms is None:\n            return False\n",
         "        if True:\n            return False\n",
-        _FORWARDER,
+        _FORWARDER_TEST,
     ),
     Mutant(
         "no look at the quarantine after the wait for a place",
@@ -22,77 +22,77 @@
         "            if await self._refuse_if_quarantined(progress, reply):\n"
         "                selector.release",
         "            if False:\n                selector.release",
-        _FORWARDER,
+        _FORWARDER_TEST,
     ),
     Mutant(
         "every broken connection counts as an end",
         "chestnutfall/control/crash_monitor.py",
         "        if report.refuses:\n",
         "        if True:\n",
-        _KEEPER,
+        _MONITOR_TEST,
     ),
     Mutant(
         "another incarnation shows nothing",
         "chestnutfall/control/crash_monitor.py",
         "            if broken.address == address and broken_instance != instance:\n",
         "            if False:\n",
-        _KEEPER,
+        _MONITOR_TEST,
     ),
     Mutant(
         "overlapping ends count each",
         "chestnutfall/control/crash_monitor.py",
         "        return last_ms is None or run.began_ms >= last_ms - REPORT_JITTER_MS\n",
         "        return True\n",
-        _KEEPER,
+        _MONITOR_TEST,
     ),
     Mutant(
         "blamed by the first report alone",
         "chestnutfall/control/crash_monitor.py",
         "now_ms >= broken.ended_ms + REPORT_COLLECTION_MS",
         "now_ms >= broken.ended_ms",
-        _KEEPER,
+        _MONITOR_TEST,
     ),
     Mutant(
         "old breaks are blamed for an end",
         "chestnutfall/control/broken_upstream.py",
         "            if span.broke_ms >= broke_ms - SAME_END_WINDOW_MS\n",
         "            if True\n",
-        _KEEPER,
+        _MONITOR_TEST,
     ),
     Mutant(
         "explained ends stay with those beside",
         "chestnutfall/control/crash_ledger.py",
         "                self.ends[instance] = EXPLAINED\n",
         "                pass\n",
-        _LEDGER,
+        _LEDGER_TEST,
     ),
     Mutant(
         "a tie holds everybody",
         "chestnutfall/control/crash_ledger.py",
         "most >= ENDS_TO_QUARANTINE and len(blamed) == 1",
         "most >= ENDS_TO_QUARANTINE",
-        _LEDGER,
+        _LEDGER_TEST,
     ),
     Mutant(
         "an offender gets three ends again",
         "chestnutfall/control/crash_ledger.py",
         "        for fingerprint in offenders or self._to_quarantine(end):\n",
         "        for fingerprint in self._to_quarantine(end):\n",
-        _LEDGER,
+        _LEDGER_TEST,
     ),
     Mutant(
         "an answer clears nothing",
         "chestnutfall/control/crash_ledger.py",
         "                self.ends[instance] = end.without(fingerprint)\n",
         "                pass\n",
-        _LEDGER,
+        _LEDGER_TEST,
     ),
     Mutant(
         "a gateway that joins is not told of quarantines",
         "chestnutfall/coordination/gateway_broadcaster.py",
         "        if self._state.crashes.changes:\n",
         "        if False:\n",
-        _KEEPER,
+        _MONITOR_TEST,
     ),
     Mutant(
         "an ended upstream serves until its heartbeat is late",
--- a/properties/safeguards/signal_mutants.py
+++ b/properties/safeguards/signal_mutants.py
@@ -4,14 +4,14 @@
 
 from ..mutant import Mutant
 
-_CHECK = "chestnutfall.tests.test_last_check.LastCheckTest"
-_PARTS = "chestnutfall.tests.test_backoff_parts"
-_READ = "chestnutfall.tests.test_signals"
-_PLACEMENT = "chestnutfall.tests.test_backoff_placement.BackoffPlacementTest"
-_TOGETHER = "chestnutfall.tests.test_backoff_together.BackoffTogetherTest"
-_LEAVING = "chestnutfall.tests.test_leaving_together.LeavingTogetherTest"
-_COMPLETIONS = "chestnutfall.tests.test_backoff_completions.BackoffCompletionTest"
-_PLAIN = "chestnutfall.tests.test_plain_proxy.PlainProxyTest"
+_CHECK_TEST = "chestnutfall.tests.test_last_check.LastCheckTest"
+_PARTS_TEST = "chestnutfall.tests.test_backoff_parts"
+_READ_TEST = "chestnutfall.tests.test_signals"
+_PLACEMENT_TEST = "chestnutfall.tests.test_backoff_placement.BackoffPlacementTest"
+_TOGETHER_TEST = "chestnutfall.tests.test_backoff_together.BackoffTogetherTest"
+_LEAVING_TEST = "chestnutfall.tests.test_leaving_together.LeavingTogetherTest"
+_COMPLETIONS_TEST = "chestnutfall.tests.test_backoff_completions.BackoffCompletionTest"
+_PLAIN_TEST = "chestnutfall.tests.test_plain_proxy.PlainProxyTest"
 
 _SENDER = "chestnutfall/forwarding/sender.py"
 _SENDER_CHECK = "        if not self._signals.may_send(place.upstream.instance):"
@@ -22,21 +22,21 @@
         _SENDER,
         _SENDER_CHECK,
         "        if False:",
-        f"{_CHECK}.test_a_first_send_goes_elsewhere_without_a_repeat",
+        f"{_CHECK_TEST}.test_a_first_send_goes_elsewhere_without_a_repeat",
     ),
     Mutant(
         "a repeat is not checked",
         _SENDER,
         _SENDER_CHECK,
         "        if progress.sends == 1 and not self._signals.may_send(place.upstream.instance):",
-        f"{_CHECK}.test_a_repeat_goes_elsewhere_and_counts_once",
+        f"{_CHECK_TEST}.test_a_repeat_goes_elsewhere_and_counts_once",
     ),
     Mutant(
         "a resumed run is not checked",
         _SENDER,
         _SENDER_CHECK,
         "        if not progress.started and not self._signals.may_send(place.upstream.instance):",
-        f"{_CHECK}.test_a_run_is_resumed_elsewhere",
+        f"{_CHECK_TEST}.test_a_run_is_resumed_elsewhere",
     ),
     Mutant(
         "places from memory are on engines that want nothing",
@@ -51,49 +51,50 @@
         "chestnutfall/forwarding/plain_selector.py",
         "accepting = [one for one in upstreams if self._signals.may_send(one.instance)]",
         "accepting = list(upstreams)",
-        f"{_TOGETHER}.test_one_call_meets_several_that_ask_for_time",
+        f"{_TOGETHER_TEST}.test_one_call_meets_several_that_ask_for_time",
     ),
     Mutant(
         "turns are given at upstreams that want nothing from that gateway",
         "chestnutfall/limits/plain_send_queues.py",
         "allowed = [one for one in free if self._may_send(waiting.gateway, one)]",
         "allowed = list(free)",
-        f"{_TOGETHER}.test_turns_at_limited_upstreams_skip_who_was_asked_for_time",
+        f"{_TOGETHER_TEST}.test_turns_at_limited_upstreams_skip_who_was_asked_for_time",
     ),
     Mutant(
         "a ticket in hand is not checked",
         "chestnutfall/routing/dispatcher.py",
         "        while not self._signals.may_send(engine.instance):",
         "        while False:",
-        f"{_COMPLETIONS}.test_a_ticket_in_hand_is_not_used_when_its_engine_asked_for_time",
+        f"{_COMPLETIONS_TEST}.test_a_ticket_in_hand_is_not_used_when_its_engine_asked_for_time",
     ),
     Mutant(
         "engines that want nothing are asked for tickets",
         "chestnutfall/routing/tickets.py",
         "(one for one in serving if self._signals.may_send(one.instance)),",
         "serving,",
-        f"{_COMPLETIONS}" ".test_an_engine_that_leaves_is_not_asked_for_whatever_its_owner_knows",
+        f"{_COMPLETIONS_TEST}"
+        ".test_an_engine_that_leaves_is_not_asked_for_whatever_its_owner_knows",
     ),
     Mutant(
         "a resumed run does not wait for the end of the time",
         "chestnutfall/routing/dispatcher.py",
         "        return max(left_ms, BACKOFF_MS * resumes)",
         "        return BACKOFF_MS * resumes",
-        f"{_COMPLETIONS}.test_a_run_is_resumed_when_the_time_is_over",
+        f"{_COMPLETIONS_TEST}.test_a_run_is_resumed_when_the_time_is_over",
     ),
     Mutant(
         "a run at an engine that leaves is given up",
         "chestnutfall/routing/dispatcher.py",
         "        if math.isinf(left_ms):",
         "        if False:",
-        f"{_COMPLETIONS}.test_a_run_is_resumed_at_an_engine_that_leaves",
+        f"{_COMPLETIONS_TEST}.test_a_run_is_resumed_at_an_engine_that_leaves",
     ),
     Mutant(
         "plain services that want nothing get calls",
         "chestnutfall/plain_edge/plain_proxy.py",
         "sendable = [up for up in untried if self._signals.may_send(up.instance)]",
         "sendable = untried",
-        f"{_PLAIN}.test_an_upstream_that_asks_for_backoff_gets_it_and_callers_lose_nothing",
+        f"{_PLAIN_TEST}.test_an_upstream_that_asks_for_backoff_gets_it_and_callers_lose_nothing",
     ),
 )
 
@@ -103,42 +104,42 @@
         "chestnutfall/signals/known_backoffs.py",
         "        if until_ms <= self._until_ms.get(instance, self._clock.now_ms()):",
         "        if until_ms <= self._clock.now_ms():",
-        f"{_PARTS}.KnownBackoffsTest.test_the_last_end_of_all_times_holds",
+        f"{_PARTS_TEST}.KnownBackoffsTest.test_the_last_end_of_all_times_holds",
     ),
     Mutant(
         "a word is kept by the upstream's address",
         "chestnutfall/forwarding/sender.py",
         "        if answer.not_run is not NotRun.REPLACED:",
         "        if True:",
-        f"{_CHECK}.test_signals_of_another_incarnation_are_ignored",
+        f"{_CHECK_TEST}.test_signals_of_another_incarnation_are_ignored",
     ),
     Mutant(
         "upstreams that left are remembered for ever",
         "chestnutfall/signals/known_backoffs.py",
         "    if len(held) > MAX_BACKOFFS:",
         "    if False:",
-        f"{_PARTS}.KnownBackoffsTest.test_memory_is_bounded",
+        f"{_PARTS_TEST}.KnownBackoffsTest.test_memory_is_bounded",
     ),
     Mutant(
         "any Retry-After is taken for a wish of the upstream",
         "chestnutfall/signals/backoff_signal.py",
         "    if text is None or status not in BACKOFF_STATUSES:",
         "    if text is None:",
-        f"{_READ}.ReadBackoffTest.test_429_says_the_same_as_503_and_other_answers_say_nothing",
+        f"{_READ_TEST}.ReadBackoffTest.test_429_says_the_same_as_503_and_other_answers_say_nothing",
     ),
     Mutant(
         "a slip of units takes an upstream away for good",
         "chestnutfall/signals/backoff_signal.py",
         "math.ceil(min(seconds * 1000, MAX_BACKOFF_MS))",
         "math.ceil(seconds * 1000)",
-        f"{_READ}.ReadBackoffTest.test_more_than_a_day_is_a_day",
+        f"{_READ_TEST}.ReadBackoffTest.test_more_than_a_day_is_a_day",
     ),
     Mutant(
         "names of headers that nobody reads are kept without a bound",
         "chestnutfall/signals/unread_headers.py",
         "        elif len(self._logged) >= MAX_NAMES:",
         "        elif False:",
-        f"{_READ}.UnreadHeadersTest.test_names_are_bounded_in_number_and_length",
+        f"{_READ_TEST}.UnreadHeadersTest.test_names_are_bounded_in_number_and_length",
     ),
     Mutant(
         "a new leader is not told what was heard before it",
@@ -146,14 +147,14 @@
         "        return ("
         "*self.limits.reports_for_new_leader(), *self.backoffs.reports_for_new_leader())",
         "        return self.limits.reports_for_new_leader()",
-        f"{_LEAVING}.test_each_new_leader_gets_the_reports",
+        f"{_LEAVING_TEST}.test_each_new_leader_gets_the_reports",
     ),
     Mutant(
         "an announcement takes back that an upstream leaves",
         "chestnutfall/membership/upstream_registry.py",
         '    return replace(announcement, state="leaving")',
         "    return announcement",
-        f"{_PLAIN}.test_an_upstream_that_announced_that_it_leaves_leaves_for_good",
+        f"{_PLAIN_TEST}.test_an_upstream_that_announced_that_it_leaves_leaves_for_good",
     ),
 )
 
@@ -163,63 +164,63 @@
         "chestnutfall/placement/engine_selector.py",
         "        return self._backoffs.may_send(req, engine)",
         "        return True",
-        f"{_PLACEMENT}.test_a_gateway_that_was_asked_waits_rather_than_goes_there",
+        f"{_PLACEMENT_TEST}.test_a_gateway_that_was_asked_waits_rather_than_goes_there",
     ),
     Mutant(
         "calls that wait for a load keep an engine that asked for time",
         "chestnutfall/placement/placer.py",
         "        if engine.backoff.wait_ms(waiting.req.gateway, now_ms):",
         "        if False:",
-        f"{_PLACEMENT}.test_who_waits_for_a_load_there_is_placed_anew",
+        f"{_PLACEMENT_TEST}.test_who_waits_for_a_load_there_is_placed_anew",
     ),
     Mutant(
         "an upstream that turns one gateway away is as good as any for the others",
         "chestnutfall/signals/upstream_backoff.py",
         "        return now_ms < self._probably_rejects_until_ms",
         "        return False",
-        f"{_PLACEMENT}.test_others_prefer_other_engines_and_try_it_now_and_then",
+        f"{_PLACEMENT_TEST}.test_others_prefer_other_engines_and_try_it_now_and_then",
     ),
     Mutant(
         "a try that was served frees nobody",
         "chestnutfall/signals/upstream_backoff.py",
         "        if ticket == self._probe and not math.isinf(self._probably_rejects_until_ms):",
         "        if False:",
-        f"{_PARTS}.UpstreamBackoffTest.test_a_try_that_is_served_frees_the_others",
+        f"{_PARTS_TEST}.UpstreamBackoffTest.test_a_try_that_is_served_frees_the_others",
     ),
     Mutant(
         "all come back in the moment at which the time is over",
         "chestnutfall/signals/upstream_backoff.py",
         "        return max(due_ms - since_ms, 0.0)",
         "        return 0.0",
-        f"{_PARTS}.UpstreamBackoffTest.test_what_it_may_be_sent_doubles_when_its_time_is_over",
+        f"{_PARTS_TEST}.UpstreamBackoffTest.test_what_it_may_be_sent_doubles_when_its_time_is_over",
     ),
     Mutant(
         "callers who were refused come back in one moment",
         "chestnutfall/signals/retry_spread.py",
         "        return math.ceil(free_ms + spread_ms * (series.count * _GOLDEN % 1))",
         "        return math.ceil(free_ms)",
-        f"{_PARTS}.RetrySpreadTest.test_they_come_back_as_they_came_and_not_before",
+        f"{_PARTS_TEST}.RetrySpreadTest.test_they_come_back_as_they_came_and_not_before",
     ),
     Mutant(
         "callers wait for engines that want nothing",
         "chestnutfall/placement/refusals.py",
         "        if backoff_ms and not service_round.selector",
         "        if False and not service_round.selector",
-        f"{_TOGETHER}.test_where_all_ask_for_time_callers_are_told_at_once_when_to_come_back",
+        f"{_TOGETHER_TEST}.test_where_all_ask_for_time_callers_are_told_at_once_when_to_come_back",
     ),
     Mutant(
         "a refusal that asks for time is taken for a load that takes longer",
         "chestnutfall/forwarding/sender.py",
         "        return RunOutcome.TURNED_AWAY\n",
         "        return RunOutcome.FULL\n",
-        f"{_CHECK}.test_a_call_that_one_upstream_turns_away_goes_to_another",
+        f"{_CHECK_TEST}.test_a_call_that_one_upstream_turns_away_goes_to_another",
     ),
     Mutant(
         "a repeat that found no place is spent",
         "chestnutfall/forwarding/forwarder.py",
         "                if progress.holds_repeat:",
         "                if False:",
-        f"{_CHECK}.test_a_repeat_that_found_no_place_is_given_back",
+        f"{_CHECK_TEST}.test_a_repeat_that_found_no_place_is_given_back",
     ),
     Mutant(
         "copies are taken for fast whatever engines do",
--- a/properties/test_control_state.py
+++ b/properties/test_control_state.py
@@ -1,8 +1,9 @@
 """Configuration, claims and permits as functions of the log.
 
-An operator is told "accepted" and the change is not there, or is beaten without being told; a
-caller's estimate runs twice; the weight store gets more loads than it bears. Commands arrive in any
-order, are sent again, and the state goes through a snapshot at any point.
+Commands arrive in any order and are sent again, and the state is restored from a snapshot at any
+point. The tests guard against accepted changes that are lost, changes that overwrite a concurrent
+one without a conflict, a non-idempotent request that runs twice, and more simultaneous loads from
+the weight store than are permitted.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 )
 from chestnutfall.control.control_state import ControlState
 
-small = st.integers(0, 3)
+change_numbers = st.integers(0, 3)
 entry = st.recursive(
     st.integers(0, 2) | st.booleans() | st.text("ab", max_size=2),
     lambda inner: st.dictionaries(st.sampled_from("xyz"), inner, max_size=3),
@@ -50,38 +51,38 @@
 )
 patches = st.fixed_dictionaries({BASE_LAYER: sections}, optional={"site:one": sections})
 
-HASH = {name: name * 64 for name in "ab"}
-office_adapters = st.fixed_dictionaries(
+DIGESTS = {name: name * 64 for name in "ab"}
+adapter_entries = st.fixed_dictionaries(
     {"service": st.sampled_from(["s1", "s2"])},
     optional={
         "versions": st.dictionaries(
-            st.sampled_from("12"), st.sampled_from([f"sha256:{h}" for h in HASH.values()])
+            st.sampled_from("12"), st.sampled_from([f"sha256:{h}" for h in DIGESTS.values()])
         ),
         "default_version": st.sampled_from(["1", "2", "3"]),
     },
 )
-office_services = st.fixed_dictionaries(
+service_entries = st.fixed_dictionaries(
     {
         "kind": st.sampled_from(["engine", "plain"]),
-        "announce_key_sha256": st.just(HASH["a"]),
+        "announce_key_sha256": st.just(DIGESTS["a"]),
         "path": st.sampled_from(["", "/p", "/q"]),
     }
 )
-office_callers = st.fixed_dictionaries(
+caller_entries = st.fixed_dictionaries(
     {
-        "key_sha256": st.sampled_from(list(HASH.values())),
+        "key_sha256": st.sampled_from(list(DIGESTS.values())),
         "adapters": st.lists(st.sampled_from(["x", "y", "*"]), max_size=2),
         "services": st.lists(st.sampled_from(["s1", "s2"]), max_size=1),
     }
 )
-patches_of_offices = st.fixed_dictionaries(
+site_patches = st.fixed_dictionaries(
     {},
     optional={
         section: st.dictionaries(st.sampled_from(names), kind | st.none(), max_size=2)
         for section, names, kind in (
-            ("adapters", ["x", "y"], office_adapters),
-            ("services", ["s1", "s2"], office_services),
-            ("callers", ["c", "d"], office_callers),
+            ("adapters", ["x", "y"], adapter_entries),
+            ("services", ["s1", "s2"], service_entries),
+            ("callers", ["c", "d"], caller_entries),
         )
     },
 )
@@ -109,10 +110,10 @@
 
 class ConfigurationTest(unittest.TestCase):
     @given(
-        st.lists(st.tuples(small, st.integers(0, 5), patches), max_size=12),
+        st.lists(st.tuples(change_numbers, st.integers(0, 5), patches), max_size=12),
         st.integers(0, 12),
     )
-    def test_each_revision_is_won_by_one_change_and_a_resend_gets_the_first_outcome(
+    def test_one_change_makes_each_revision_and_a_resend_gets_the_first_outcome(
         self, changes: list[tuple[int, int, Any]], snapshot_after: int
     ) -> None:
         state = _state()
@@ -152,7 +153,9 @@
         layers.apply({BASE_LAYER: {"adapters": merge_diff(old, new)}})
         self.assertEqual(layers.layers[BASE_LAYER]["adapters"], new)
 
-    @given(st.lists(st.tuples(st.sampled_from("ab"), small), unique_by=lambda item: item[0]))
+    @given(
+        st.lists(st.tuples(st.sampled_from("ab"), change_numbers), unique_by=lambda item: item[0])
+    )
     def test_digest_does_not_depend_on_the_order(self, items: list[tuple[str, int]]) -> None:
         forward, backward = ContentDigest(), ContentDigest()
         for name, value in items:
@@ -182,7 +185,7 @@
     ) -> None:
         state = ControlState()
         holder: str | None = None
-        forget_ms = 0
+        expires_ms = 0
         now_ms = 0
         for kind, attempt, ms in steps:
             match kind:
@@ -191,7 +194,7 @@
                     taken = isinstance(_apply(state, take), ClaimTaken)
                     self.assertEqual(taken, holder in (None, attempt))
                     if holder is None:
-                        holder, forget_ms = attempt, now_ms + 100
+                        holder, expires_ms = attempt, now_ms + 100
                 case "done" | "unknown":
                     _apply(state, EndClaim("caller", "key", attempt, ClaimStatus(kind)))
                 case "release":
@@ -200,7 +203,7 @@
                 case "time":
                     now_ms += ms
                     _apply(state, AdvanceTime(ms))
-                    holder = None if now_ms >= forget_ms else holder
+                    holder = None if now_ms >= expires_ms else holder
                 case "snapshot":
                     state = _restored(state)
 
@@ -228,12 +231,12 @@
 
 
 class ValidationTest(unittest.TestCase):
-    @given(st.lists(patches_of_offices, min_size=1, max_size=4))
-    def test_looking_at_what_changed_finds_what_looking_at_all_finds(
+    @given(st.lists(site_patches, min_size=1, max_size=4))
+    def test_validating_changed_entries_finds_what_full_validation_finds(
         self, all_patches: list[Any]
     ) -> None:
-        # The leader judges only touched entries, and what refers to them. What it overlooks would
-        # be in force at every site before a gateway notices.
+        # The leader validates only changed entries and those that refer to them. An error that it
+        # overlooks would be in force at every site before a gateway notices.
         layers = LayeredConfig({BASE_LAYER: {"sites": {"one": {}}}})
         for patch in all_patches:
             present = SiteConfig("one", layers)
@@ -245,10 +248,10 @@
                 {s: e for s, e in entries.items() if e},
                 {s: e for s, e in whole.entries.items() if e},
             )
-            judged = validate_site("one", entries, present.entries, touched)
+            incremental = validate_site("one", entries, present.entries, touched)
             everything = list(candidate.names("one"))
             expected = validate_site("one", whole.entries, present.entries, everything)
-            self.assertEqual(bool(judged), bool(expected))
-            self.assertLessEqual(set(judged), set(expected))
-            if not judged:
+            self.assertEqual(bool(incremental), bool(expected))
+            self.assertLessEqual(set(incremental), set(expected))
+            if not incremental:
                 layers = candidate
--- a/properties/test_load_budget.py
+++ b/properties/test_load_budget.py
@@ -1,7 +1,8 @@
 """The rate of loads from the weight store.
 
-Loads slow each other down, or the store refuses them, because owners start more than it allows:
-after an idle hour, or when a new leader does not know what the old one has just permitted.
+If owners start more loads than the store allows, loads slow each other down or the store refuses
+them. That may happen after an idle hour, or when a new leader does not know which loads the
+previous one has just permitted.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class _Clock(ManualClock):
-    def move(self, ms: int) -> None:
+    def advance_by(self, ms: int) -> None:
         self._now_ms += ms
 
 
@@ -39,7 +40,7 @@
         for wait_ms, new_leader in steps:
             if new_leader:
                 budget = LoadBudget(clock)
-            clock.move(wait_ms)
+            clock.advance_by(wait_ms)
             while budget.take(PER_S):
                 started_ms.append(clock.now_ms())
         for first, begin_ms in enumerate(started_ms):
@@ -47,11 +48,11 @@
                 window_ms = started_ms[last] - begin_ms
                 self.assertLessEqual(last - first + 1, window_ms * PER_S / 1000 + 2)
 
-    def test_a_second_gives_the_rate(self) -> None:
+    def test_one_second_permits_loads_at_the_rate(self) -> None:
         clock = _Clock()
         budget = LoadBudget(clock)
         taken = 0
         for _ in range(1000):
-            clock.move(1)
+            clock.advance_by(1)
             taken += budget.take(PER_S)
         self.assertIn(taken, (4, 5))
--- a/properties/test_owner_plan.py
+++ b/properties/test_owner_plan.py
@@ -1,4 +1,4 @@
-"""How engines are spread over gateways."""
+"""The assignment of engines to gateways: balanced, stable, and with one live owner each."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         engines,
         st.lists(st.sampled_from([f"entry-{n}" for n in range(9)]), min_size=2, unique=True),
     )
-    def test_only_what_the_lost_gateway_owned_moves(
+    def test_only_engines_of_the_lost_gateway_move(
         self, wanted: list[str], gateways: list[str]
     ) -> None:
         before = plan_owners(wanted, gateways, {})
--- a/properties/test_serving.py
+++ b/properties/test_serving.py
@@ -1,8 +1,8 @@
-"""Tickets, pins, loads and ownership under every mix of faults.
+"""Tickets, pins, loads and ownership under random sequences of faults.
 
-A caller's answer breaks off because its adapter was evicted under it, or comes from another one;
-two gateways decide for one engine at the same time. Requests for more adapters than slots come
-while gateways die, freeze and lose their lines, and engines restart empty.
+Requests ask for more adapters than there are slots while gateways die, freeze and lose their
+connections, and engines restart empty. The tests guard against answers that break off because their
+adapter was evicted, answers of another adapter, and two gateways that act for one engine at once.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Serving(RuleBasedStateMachine):
-    """Drives real gateways' decisions before fake engines."""
+    """Runs gateways' decision code with fake engines and checks safety after each step."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -102,7 +102,7 @@
             gateway.clock.freeze()
 
     @rule(at=gateway_number, control=st.booleans())
-    def cut_or_heal_line(self, at: int, control: bool) -> None:
+    def cut_or_heal_link(self, at: int, control: bool) -> None:
         gateway = self.office.gateway(at)
         if control:
             gateway.client.cut = not gateway.client.cut
@@ -119,7 +119,7 @@
             self.office.announced[name] = (engine, "leaving")
 
     def _return(self, name: str) -> None:
-        """Let an engine serve again; one that left does so as another process only."""
+        """Let an engine serve again. One that left returns as a new process without adapters."""
         engine, _ = self.office.announced[name]
         engine.restart_empty()
         self.office.announced[name] = (engine, "serving")
@@ -181,7 +181,7 @@
         self.loop.close()
 
     async def _finish(self) -> None:
-        """Without faults every request ends, and a new one is served."""
+        """End all faults, wait for the requests to end and check that a new one is served."""
         for at in range(GATEWAYS):
             gateway = self.office.gateway(at)
             if not gateway.alive:
