--- a/benchmarks/acceptance.py
+++ b/benchmarks/acceptance.py
@@ -25,12 +25,12 @@
 def _validation_ms(adapters: int) -> float:
     state = _state(adapters, SITES)
     replica: Any = SimpleNamespace()
-    desk = OperatorService(replica, state, replica, SystemClock(), "")
+    operator_service = OperatorService(replica, state, replica, SystemClock(), "")
     version = {"versions": {"9": "sha256:" + "ab" * 32}}
     patches = {BASE_LAYER: {"adapters": {"oficina-0-tarea-0": version}}}
     started = time.perf_counter()
     for _ in range(REPETITIONS):
-        assert not list(desk._validation_errors(patches))
+        assert not list(operator_service._validation_errors(patches))
     return (time.perf_counter() - started) * 1000 / REPETITIONS
 
 
--- a/benchmarks/backoffs.py
+++ b/benchmarks/backoffs.py
@@ -69,12 +69,12 @@
     """Simulate one strategy and return a row of the table."""
     office = SignalOffice(gateways, engines=9, plain=3, seed=seed, repeats=REPEATS)
     reports = 0
-    hear = BackoffCoordinator.record_backoff
+    record_backoff = BackoffCoordinator.record_backoff
 
     def counting(self: BackoffCoordinator, *args: object) -> None:
         nonlocal reports
         reports += 1
-        hear(self, *args)  # type: ignore[arg-type]
+        record_backoff(self, *args)  # type: ignore[arg-type]
 
     with mock.patch.object(BackoffCoordinator, "record_backoff", counting), STRATEGIES[strategy]():
         await office.play(BEFORE_MS, RATES)
--- a/chestnutfall/caller_edge/__init__.py
+++ b/chestnutfall/caller_edge/__init__.py
@@ -4,6 +4,6 @@
 
 from .caller_app import CallerApp
 from .caller_limits import CallerLimits
-from .control_quota_line import ControlQuotaLine
+from .control_quota_client import ControlQuotaClient
 
-__all__ = ["CallerApp", "CallerLimits", "ControlQuotaLine"]
+__all__ = ["CallerApp", "CallerLimits", "ControlQuotaClient"]
--- a/chestnutfall/caller_edge/control_quota_line.py
+++ b/chestnutfall/caller_edge/control_quota_client.py
@@ -19,12 +19,12 @@
 """A gateway that asks, and whose last report is this old, sends an empty one to get levels."""
 
 
-class ControlQuotaLine(QuotaClient):
+class ControlQuotaClient(QuotaClient):
     """Reports and asks for quota by calls to the controllers.
 
     Attributes
     ----------
-    on_news : callable
+    on_quotas : callable
         Called with the `QuotaNews` that answers each report; it lists the callers that are short
         of quota.
     """
@@ -35,7 +35,7 @@
         self._connected = True
         self._reported_ms = clock.now_ms()
         self._sending: set[asyncio.Task[None]] = set()
-        self.on_news: Callable[[QuotaNews], None] = lambda news: None
+        self.on_quotas: Callable[[QuotaNews], None] = lambda update: None
 
     @property
     def connected(self) -> bool:
@@ -62,7 +62,7 @@
             return
         self._connected = True
         if isinstance(answer, QuotaNews):
-            self.on_news(answer)
+            self.on_quotas(answer)
 
     async def ask_quota(self, organisation: str, units: float) -> AnswerQuota:
         try:
--- a/chestnutfall/control/caller_quotas.py
+++ b/chestnutfall/control/caller_quotas.py
@@ -39,8 +39,8 @@
             case WasShort(organisations):
                 ledger.note_short(organisations)
         # Updates which callers are short; `whole_news` returns the state of the last update.
-        ledger.news()
-        return ledger.whole_news()
+        ledger.next_update()
+        return ledger.full_update()
 
     def ask(self, msg: AskQuota) -> AnswerQuota:
         """Decide whether a request is within its caller's quota."""
--- a/chestnutfall/coordination/backoff_coordinator.py
+++ b/chestnutfall/coordination/backoff_coordinator.py
@@ -28,9 +28,9 @@
     """
 
     def __init__(
-        self, book: BackoffRegistry, placer: Placer, sessions: GatewaySessions, clock: Clock
+        self, registry: BackoffRegistry, placer: Placer, sessions: GatewaySessions, clock: Clock
     ) -> None:
-        self._book = book
+        self._registry = registry
         self._placer = placer
         self._sessions = sessions
         self._clock = clock
@@ -39,22 +39,22 @@
 
     def set_serving(self, serving: Iterable[UpstreamRecord]) -> None:
         """Drop the backoffs of upstreams that no longer serve."""
-        self._book.forget_absent({one.instance for one in serving})
+        self._registry.forget_absent({one.instance for one in serving})
 
-    def record_backoff(self, session: GatewaySession, heard: HeardBackoff) -> None:
+    def record_backoff(self, session: GatewaySession, report: HeardBackoff) -> None:
         """Record a backoff that an upstream asked a gateway for."""
-        is_new = self._book.update(session.gateway, heard)
-        if is_new and heard.instance not in self._placer.engines:
-            self._new_hints[heard.instance] = heard
+        is_new = self._registry.update(session.gateway, report)
+        if is_new and report.instance not in self._placer.engines:
+            self._new_hints[report.instance] = report
 
     def remove_gateway(self, session: GatewaySession) -> None:
         """Drop the backoffs of a disconnected gateway."""
-        self._book.forget_gateway(session.gateway)
+        self._registry.forget_gateway(session.gateway)
 
     def send_initial_state(self, session: GatewaySession) -> None:
         """Send the current backoffs to a gateway that has just connected."""
         found = (
-            one for one in self._book.active_hints() if one.instance not in self._placer.engines
+            one for one in self._registry.active_hints() if one.instance not in self._placer.engines
         )
         hints = tuple(found)[-MAX_HINTS:]
         if hints:
--- a/chestnutfall/coordination/gateway_broadcaster.py
+++ b/chestnutfall/coordination/gateway_broadcaster.py
@@ -63,7 +63,7 @@
         # Short messages go first: a gateway that receives nothing assumes that the leader has
         # failed.
         session.send(self._controllers)
-        session.send(self._quotas.whole_news())
+        session.send(self._quotas.full_update())
         for part in self._views.whole():
             session.send(part)
         session.send(GatewayCount(max(len(self._sessions), self._gateways)))
@@ -95,9 +95,9 @@
 
     def send_quotas(self) -> None:
         """Send which organisations became short of quota, or have enough again."""
-        news = self._quotas.news()
-        if news is not None:
-            self._sessions.broadcast(news)
+        update = self._quotas.next_update()
+        if update is not None:
+            self._sessions.broadcast(update)
 
     def _send_document(self) -> None:
         # Operators may store many versions per second. If each were sent, they would queue up on
--- a/chestnutfall/coordination/group_manager.py
+++ b/chestnutfall/coordination/group_manager.py
@@ -105,8 +105,8 @@
         now_ms = self._clock.now_ms()
         return {
             replica_id: address
-            for replica_id, (address, heard_ms) in self._joiners.items()
-            if now_ms - heard_ms < JOINER_TIMEOUT_MS
+            for replica_id, (address, last_contact_ms) in self._joiners.items()
+            if now_ms - last_contact_ms < JOINER_TIMEOUT_MS
         }
 
     def _is_replaced(self, member: Member, present: dict[str, Member]) -> bool:
@@ -131,5 +131,7 @@
     def _silent_ms(self, member: Member) -> int:
         if member.replica_id == self._replica.replica_id:
             return 0
-        heard_ms = max(self._replica.progress.answered_ms(member.replica_id), self._led_since_ms)
-        return self._clock.now_ms() - heard_ms
+        last_contact_ms = max(
+            self._replica.progress.answered_ms(member.replica_id), self._led_since_ms
+        )
+        return self._clock.now_ms() - last_contact_ms
--- a/chestnutfall/coordination/limit_coordinator.py
+++ b/chestnutfall/coordination/limit_coordinator.py
@@ -27,19 +27,19 @@
 
     def __init__(
         self,
-        book: LimitRegistry,
+        registry: LimitRegistry,
         backoffs: BackoffRegistry,
         placer: Placer,
         sessions: GatewaySessions,
         clock: Clock,
     ) -> None:
-        self._book = book
+        self._registry = registry
         self._placer = placer
         self._sessions = sessions
         self._clock = clock
         self._serving: dict[str, list[str]] = {}
         self._turns: PlainSendQueues[GatewaySession] = PlainSendQueues(
-            book,
+            registry,
             lambda service: self._serving.get(service, []),
             lambda session, instance: backoffs.may_send(session.gateway, instance),
             clock,
@@ -58,20 +58,20 @@
         self._serving = {}
         for one in serving:
             self._serving.setdefault(one.service, []).append(one.instance)
-        self._book.forget_absent({one for group in self._serving.values() for one in group})
+        self._registry.forget_absent({one for group in self._serving.values() for one in group})
 
-    def record_limit(self, session: GatewaySession, heard: HeardLimit) -> None:
+    def record_limit(self, session: GatewaySession, report: HeardLimit) -> None:
         """Record the limit that an upstream's answer named to a gateway."""
-        is_engine = heard.instance in self._placer.engines
-        if self._book.update(heard, counts_sends=is_engine):
-            self._placer.limit_changed(heard.instance)
+        is_engine = report.instance in self._placer.engines
+        if self._registry.update(report, counts_sends=is_engine):
+            self._placer.limit_changed(report.instance)
             return
         # A gateway that missed a change of the limit would continue with an old one.
-        holds_per_s = self._book.declared_per_s(heard.instance)
-        if holds_per_s is None and heard.per_s is not None:
-            session.send(LimitsInForce((), (heard.instance,)))
-        elif holds_per_s is not None and holds_per_s != heard.per_s:
-            session.send(LimitsInForce((RequestLimit(heard.instance, holds_per_s),)))
+        holds_per_s = self._registry.declared_per_s(report.instance)
+        if holds_per_s is None and report.per_s is not None:
+            session.send(LimitsInForce((), (report.instance,)))
+        elif holds_per_s is not None and holds_per_s != report.per_s:
+            session.send(LimitsInForce((RequestLimit(report.instance, holds_per_s),)))
 
     def queue_turn(self, session: GatewaySession, asked: AskTurn) -> None:
         """Queue a call that waits for its turn."""
@@ -83,7 +83,7 @@
 
     def send_initial_state(self, session: GatewaySession) -> None:
         """Send all limits to a gateway that has just connected."""
-        limits = self._book.in_force()
+        limits = self._registry.in_force()
         if limits:
             session.send(LimitsInForce(limits))
 
@@ -95,11 +95,11 @@
 
     def _send_changed(self) -> None:
         now_ms = self._clock.now_ms()
-        if self._book.changes == self._sent_changes or now_ms < self._due_ms:
+        if self._registry.changes == self._sent_changes or now_ms < self._due_ms:
             return
-        self._sent_changes = self._book.changes
+        self._sent_changes = self._registry.changes
         self._due_ms = now_ms + SEND_INTERVAL_MS
-        limits = {limit.instance: limit for limit in self._book.in_force()}
+        limits = {limit.instance: limit for limit in self._registry.in_force()}
         changed = [one for name, one in limits.items() if self._sent.get(name) != one.per_s]
         ended = [name for name in self._sent if name not in limits]
         self._sent = {name: one.per_s for name, one in limits.items()}
--- a/chestnutfall/coordination/upstream_tracker.py
+++ b/chestnutfall/coordination/upstream_tracker.py
@@ -129,10 +129,10 @@
             self._crashes.address_reused(record.address, record.instance)
         if record.leaving and (known is None or not known.leaving):
             await self._leave(record.instance, "announced")
-        heard = self._liveness.record_announcement(record.instance, msg.number)
-        if heard and record.instance not in self._serving and not record.leaving:
+        is_newest = self._liveness.record_announcement(record.instance, msg.number)
+        if is_newest and record.instance not in self._serving and not record.leaving:
             self.update_soon()
-        return heard
+        return is_newest
 
     async def depart(self, msg: Depart) -> None:
         """Process a departure: the incarnation gets no new work any more."""
--- a/chestnutfall/forwarding/engine_selector.py
+++ b/chestnutfall/forwarding/engine_upstream_selector.py
@@ -24,7 +24,7 @@
 """Retry delay for clients while there is no leader; a leader is elected within this time."""
 
 
-class EngineSelector(UpstreamSelector):
+class EngineUpstreamSelector(UpstreamSelector):
     """Asks the leader for an engine; without a leader, uses the last known adapter holders.
 
     The last known holders are safe to use: an engine that no longer holds the adapter, or holds
--- a/chestnutfall/forwarding/fleet_client.py
+++ b/chestnutfall/forwarding/fleet_client.py
@@ -71,7 +71,7 @@
         Called with the requests that may end upstreams.
     on_quotas : callable
         Called with the organisations that are short of quota.
-    was_short : callable
+    shortage_report : callable
         Returns the organisations that were short of quota, for a new leader.
     on_limits : callable
         Called with the rate limits that upstreams state.
@@ -102,7 +102,7 @@
         self._reports = RecentReports(clock)
         self.on_suspects: Callable[[SuspectRequests], None] = lambda suspects: None
         self.on_quotas: Callable[[QuotaNews], None] = lambda update: None
-        self.was_short: Callable[[], WasShort] = lambda: WasShort(())
+        self.shortage_report: Callable[[], WasShort] = lambda: WasShort(())
         self.on_limits: Callable[[LimitsInForce], None] = lambda limits: None
         self.on_hints: Callable[[BackoffHints], None] = lambda hints: None
         self.signals_to_resend: Callable[[], tuple[HeardLimit | HeardBackoff, ...]] = lambda: ()
@@ -270,13 +270,13 @@
     async def _write(self, stream: Any) -> None:
         self._out = asyncio.Queue()
         try:
-            was_short = self.was_short()
+            shortage_report = self.shortage_report()
             hello = GatewayHello(self._gateway, self.knowledge.version)
             await stream.write(hello)
-            if was_short.organisations:
-                await stream.write(was_short)
-            for heard in self.signals_to_resend():
-                await stream.write(heard)
+            if shortage_report.organisations:
+                await stream.write(shortage_report)
+            for signal in self.signals_to_resend():
+                await stream.write(signal)
             while True:
                 await stream.write(await self._out.get())
         except (grpc.aio.AioRpcError, asyncio.InvalidStateError) as exc:
@@ -323,8 +323,8 @@
         self._connected_event.set()
         log.info("leader: connected address=%s", address)
         # Signals received from upstreams since this stream began were not sent to any leader.
-        for heard in self.signals_to_resend():
-            self.send(heard)
+        for signal in self.signals_to_resend():
+            self.send(signal)
         # The previous leader may have ended before it stored these reports, or they were made while
         # there was no leader.
         for report in self._reports.to_resend():
--- a/chestnutfall/forwarding/limited_turns.py
+++ b/chestnutfall/forwarding/limited_turns.py
@@ -9,7 +9,7 @@
 from ..limits.messages import AnswerTurn
 from ..limits.plain_send_queues import NO_UPSTREAM_RETRY_MS
 from ..signals.known_signals import KnownSignals
-from .engine_selector import NO_LEADER_RETRY_MS
+from .engine_upstream_selector import NO_LEADER_RETRY_MS
 from .fleet_client import LeaderLost
 from .place import NoPlace, SelectionCriteria
 
--- a/chestnutfall/forwarding/plain_selector.py
+++ b/chestnutfall/forwarding/plain_upstream_selector.py
@@ -55,7 +55,7 @@
     load_reported_ms: int = -LOAD_FRESH_MS
 
 
-class PlainSelector(UpstreamSelector):
+class PlainUpstreamSelector(UpstreamSelector):
     """Selects the least loaded upstream and prefers the own data centre.
 
     The load is this gateway's requests in progress plus the load that the upstream last reported.
@@ -123,8 +123,8 @@
     def _can_take(self, upstream: UpstreamRecord, avoid: tuple[str, ...]) -> bool:
         if self._signals.backoffs.probably_rejects(upstream.instance):
             return False
-        shunned = self._state_of(upstream).health.is_ejected(self._clock.now_ms())
-        return not shunned and upstream.instance not in avoid
+        ejected = self._state_of(upstream).health.is_ejected(self._clock.now_ms())
+        return not ejected and upstream.instance not in avoid
 
     def release(
         self, place: Place, outcome: RunOutcome, times: RunTimes, load: UpstreamLoad | None
--- a/chestnutfall/ownership/engine_owner.py
+++ b/chestnutfall/ownership/engine_owner.py
@@ -157,20 +157,20 @@
             slot.pins.pop(msg.attempt_id, None)
         self._process_queue()
 
-    def note_limit(self, heard: HeardLimit) -> None:
+    def note_limit(self, report: HeardLimit) -> None:
         """Apply a limit that the engine's present incarnation announced in an answer."""
-        if heard.instance == f"{self.engine}/{self._incarnation}" and self._send_limit.note_limit(
-            heard
+        if report.instance == f"{self.engine}/{self._incarnation}" and self._send_limit.note_limit(
+            report
         ):
             self._process_queue()
 
-    def note_backoff(self, heard: HeardBackoff) -> None:
+    def note_backoff(self, report: HeardBackoff) -> None:
         """Record that the engine asked an entry gateway for backoff.
 
         The others prefer other engines meanwhile.
         """
-        if heard.instance == f"{self.engine}/{self._incarnation}":
-            self._send_limit.note_backoff(heard)
+        if report.instance == f"{self.engine}/{self._incarnation}":
+            self._send_limit.note_backoff(report)
             self._on_view_change()
 
     def note_resume(self) -> None:
--- a/chestnutfall/ownership/engine_owners.py
+++ b/chestnutfall/ownership/engine_owners.py
@@ -105,8 +105,8 @@
         match msg:
             case TicketEnd():
                 self.end(msg)
-            case EngineLimit(engine, heard) if engine in self._owners:
-                self._owners[engine][1].note_limit(heard)
+            case EngineLimit(engine, report) if engine in self._owners:
+                self._owners[engine][1].note_limit(report)
             case EngineBackoff(engine, asked) if engine in self._owners:
                 self._owners[engine][1].note_backoff(asked)
             case ResumeSent(engine) if engine in self._owners:
--- a/chestnutfall/ownership/engine_send_limit.py
+++ b/chestnutfall/ownership/engine_send_limit.py
@@ -24,13 +24,13 @@
         self._return_times = RetrySchedule()
         self._backoff_until_ms = 0
 
-    def note_limit(self, heard: HeardLimit) -> bool:
+    def note_limit(self, report: HeardLimit) -> bool:
         """Apply the limit that an answer announced; return whether it changed."""
-        return self._limit.apply_report(heard, self._clock.now_ms())
+        return self._limit.apply_report(report, self._clock.now_ms())
 
-    def note_backoff(self, heard: HeardBackoff) -> None:
+    def note_backoff(self, report: HeardBackoff) -> None:
         """Record that the engine asked an entry gateway for backoff."""
-        left_ms = LEAVING_BACKOFF_MS if heard.left_ms is None else heard.left_ms
+        left_ms = LEAVING_BACKOFF_MS if report.left_ms is None else report.left_ms
         self._backoff_until_ms = max(self._backoff_until_ms, self._clock.now_ms() + left_ms)
 
     def backoff_ms(self) -> int:
--- a/chestnutfall/peers/peer_links.py
+++ b/chestnutfall/peers/peer_links.py
@@ -29,10 +29,10 @@
     """Sends requests and reports to the owner of an engine, be it this gateway or another."""
 
     def __init__(
-        self, agent: GatewayAgent, desk: EngineOwners, clock: Clock, tls: TlsFiles | None
+        self, agent: GatewayAgent, engine_owners: EngineOwners, clock: Clock, tls: TlsFiles | None
     ) -> None:
         self._agent = agent
-        self._desk = desk
+        self._engine_owners = engine_owners
         self._clock = clock
         self._tls = tls
         self._links: dict[str, tuple[PeerLink, asyncio.Task[None]]] = {}
@@ -70,21 +70,21 @@
         return await found[0].acquire(req)
 
     async def _acquire_here(self, req: TicketRequest) -> TicketGrant | TicketRefusal:
-        return await self._desk.acquire(req, self._agent.session)
+        return await self._engine_owners.acquire(req, self._agent.session)
 
     def release_ticket(self, engine: str, attempt_id: str) -> None:
         """Release a ticket at the engine's owner."""
         if engine not in self._agent.owners:
-            self._desk.end(TicketEnd(attempt_id))
+            self._engine_owners.end(TicketEnd(attempt_id))
         self._send_to_owner(engine, TicketEnd(attempt_id))
 
-    def report_limit(self, engine: str, heard: HeardLimit) -> None:
+    def report_limit(self, engine: str, report: HeardLimit) -> None:
         """Report to the engine's owner the request limit that an answer of the engine named."""
-        self._send_to_owner(engine, EngineLimit(engine, heard))
+        self._send_to_owner(engine, EngineLimit(engine, report))
 
-    def report_backoff(self, engine: str, heard: HeardBackoff) -> None:
+    def report_backoff(self, engine: str, report: HeardBackoff) -> None:
         """Report to the engine's owner the backoff that an answer of the engine asked for."""
-        self._send_to_owner(engine, EngineBackoff(engine, heard))
+        self._send_to_owner(engine, EngineBackoff(engine, report))
 
     def report_resume(self, engine: str) -> None:
         """Report to the engine's owner that this gateway asked the engine to resume a run."""
@@ -95,13 +95,13 @@
         if owner is None:
             return
         if owner.owner == self._agent.session:
-            self._desk.handle(msg)
+            self._engine_owners.handle(msg)
         elif owner.owner in self._links:
             self._links[owner.owner][0].send(msg)
 
     def views(self) -> Iterator[EngineView]:
         """Yield the newest view of every engine whose owner is reachable."""
-        yield from self._desk.views()
+        yield from self._engine_owners.views()
         for link, _ in self._links.values():
             yield from link.views.values()
 
--- a/chestnutfall/peers/peer_server.py
+++ b/chestnutfall/peers/peer_server.py
@@ -26,12 +26,12 @@
 class PeerServer:
     """Serves the streams of other gateways and tracks which of them are connected.
 
-    On each stream it answers ticket requests, passes reports on to the desk and publishes the
-    views of the engines that this gateway owns.
+    On each stream it answers ticket requests, passes reports on to the engine owners and publishes
+    the views of the engines that this gateway owns.
     """
 
-    def __init__(self, desk: EngineOwners, clock: Clock) -> None:
-        self._desk = desk
+    def __init__(self, engine_owners: EngineOwners, clock: Clock) -> None:
+        self._engine_owners = engine_owners
         self._clock = clock
         self._connected: dict[str, int] = {}
 
@@ -71,7 +71,7 @@
                         waiting.add(task)
                         task.add_done_callback(waiting.discard)
                     case TicketEnd() | EngineLimit() | EngineBackoff() | ResumeSent():
-                        self._desk.handle(msg)
+                        self._engine_owners.handle(msg)
         finally:
             # The stream has ended. A ticket granted now could not be delivered but would pin an
             # adapter, so the requests in progress are cancelled.
@@ -80,13 +80,13 @@
             out.put_nowait(None)
 
     async def _acquire(self, req: TicketRequest, session: str, out: asyncio.Queue[Any]) -> None:
-        out.put_nowait(await self._desk.acquire(req, session))
+        out.put_nowait(await self._engine_owners.acquire(req, session))
 
     async def _publish(self, out: asyncio.Queue[Any]) -> None:
         sent: dict[str, EngineView] = {}
-        with self._desk.watched_views() as changed:
+        with self._engine_owners.watched_views() as changed:
             while True:
-                views = {view.engine: view for view in self._desk.views()}
+                views = {view.engine: view for view in self._engine_owners.views()}
                 for engine, view in views.items():
                     if sent.get(engine) != view:
                         out.put_nowait(view)
--- a/chestnutfall/placement/active_backoffs.py
+++ b/chestnutfall/placement/active_backoffs.py
@@ -30,14 +30,14 @@
         backoff = self._active.get(engine.instance)
         return backoff is None or not backoff.wait_ms(req.gateway, self._now_ms)
 
-    def likely_refuses(self, engine: Engine) -> bool:
+    def probably_rejects(self, engine: Engine) -> bool:
         """Whether the engine would probably refuse a request of any gateway."""
         if not self._active:
             return False
         backoff = self._active.get(engine.instance)
         return backoff is not None and backoff.probably_rejects(self._now_ms)
 
-    def backoff_left_ms(self, req: PlaceRequest, engines: Iterable[Engine]) -> float:
+    def unavailable_ms(self, req: PlaceRequest, engines: Iterable[Engine]) -> float:
         """Time until the first of `engines` accepts requests of this gateway; 0 without engines."""
         gateway = req.gateway
         times_ms = (one.backoff.unavailable_ms(gateway, self._now_ms) for one in engines)
--- a/chestnutfall/placement/engine_selector.py
+++ b/chestnutfall/placement/engine_selector.py
@@ -93,7 +93,7 @@
         self._engines = [one for one in engines if not one.health.is_ejected(now_ms)]
         fraction = len(engines) / engine_count if engine_count else 1.0
         self._backoffs = ActiveBackoffs(self._engines, now_ms)
-        accepting = [one for one in self._engines if not self._backoffs.likely_refuses(one)]
+        accepting = [one for one in self._engines if not self._backoffs.probably_rejects(one)]
         self.starts_per_s = sum(one.starts_per_s() for one in accepting) / fraction
         limits = [one.limit.per_s for one in accepting]
         self.limit_per_s = None if None in limits else sum(one or 0.0 for one in limits) / fraction
@@ -181,13 +181,13 @@
         waits_ms = (one.limit.wait_ms(0, self._now_ms) for one in self._engines)
         return min(waits_ms, default=0)
 
-    def backoff_left_ms(self, req: PlaceRequest) -> float:
+    def unavailable_ms(self, req: PlaceRequest) -> float:
         """Time until the first engine accepts requests of this gateway; 0 if one does now."""
         if not self._backoffs:
             return 0.0
         model = req.adapter.model
         usable = (one for one in self._engines if not model or model in one.models)
-        return self._backoffs.backoff_left_ms(req, usable)
+        return self._backoffs.unavailable_ms(req, usable)
 
     def refresh(self, engine: Engine) -> None:
         """Recompute the costs of an engine that was just given a request or a load."""
@@ -284,7 +284,7 @@
         cost_ms = self._engine_cost_ms[engine.instance]
         if engine.data_centre != req.data_centre:
             cost_ms += OTHER_DATA_CENTRE_COST_MS
-        if engine.instance in req.avoid or self._backoffs.likely_refuses(engine):
+        if engine.instance in req.avoid or self._backoffs.probably_rejects(engine):
             cost_ms += AVOIDED_COST_MS
         return cost_ms
 
--- a/chestnutfall/placement/refusals.py
+++ b/chestnutfall/placement/refusals.py
@@ -30,7 +30,7 @@
 
     def refuse_expired(self, req: PlaceRequest, service_round: ServiceRound, now_ms: int) -> Reject:
         """Refuse a request whose time is over."""
-        backoff_ms = service_round.selector.backoff_left_ms(req)
+        backoff_ms = service_round.selector.unavailable_ms(req)
         if backoff_ms:
             return self._reject_backing_off(req, backoff_ms)
         if service_round.limit_interval_ms is None:
@@ -42,7 +42,7 @@
     ) -> Reject | None:
         """Refuse a request that will find no place in time; None keeps it waiting."""
         req = waiting.req
-        backoff_ms = service_round.selector.backoff_left_ms(req)
+        backoff_ms = service_round.selector.unavailable_ms(req)
         if backoff_ms and not service_round.selector.can_be_in_time(
             req, waiting.objective_ms(now_ms) - backoff_ms
         ):
--- a/chestnutfall/platform/control_server.py
+++ b/chestnutfall/platform/control_server.py
@@ -36,13 +36,13 @@
 
 
 class ControlServer:
-    """Decodes each HTTP request to a message for the desk, and encodes the desk's answer.
+    """Decodes each HTTP request to a message for the relay, and encodes the relay's answer.
 
-    The desk forwards messages to the leader, so that any controller can be called.
+    The relay forwards messages to the leader, so that any controller can be called.
     """
 
-    def __init__(self, desk: CurrentRelay, codec: DocumentCodec) -> None:
-        self._desk = desk
+    def __init__(self, relay: CurrentRelay, codec: DocumentCodec) -> None:
+        self._relay = relay
         self._codec = codec
         self._runner: web.ServerRunner | None = None
         self._address = ""
@@ -66,17 +66,17 @@
         try:
             match request.method, request.path:
                 case "GET", "/v1/config":
-                    return self._document_answer(await self._desk.ask(ReadDocument()))
+                    return self._document_answer(await self._relay.ask(ReadDocument()))
                 case "PUT", "/v1/config":
                     return await self._put(body)
                 case "POST", "/v1/version-put":
-                    return _empty_answer(await self._desk.ask(_read_version(json.loads(body))))
+                    return _empty_answer(await self._relay.ask(_read_version(json.loads(body))))
                 case "PUT", path if path.startswith(INSTANCES_PATH):
                     return self._heartbeat_answer(
-                        await self._desk.ask(read_announcement(instance, body))
+                        await self._relay.ask(read_announcement(instance, body))
                     )
                 case "DELETE", path if path.startswith(INSTANCES_PATH):
-                    return _empty_answer(await self._desk.ask(read_departure(instance, body)))
+                    return _empty_answer(await self._relay.ask(read_departure(instance, body)))
                 case _:
                     return web.json_response({"error": "no such call"}, status=404)
         except (ValueError, KeyError, TypeError) as exc:
@@ -97,7 +97,7 @@
             log.info("document: rejected, findings: %s", "; ".join(map(str, findings[:5])))
             return web.json_response({"findings": [str(one) for one in findings]}, status=400)
         return _empty_answer(
-            await self._desk.ask(StoreDocument(document.version, compress_document(body)))
+            await self._relay.ask(StoreDocument(document.version, compress_document(body)))
         )
 
     def _heartbeat_answer(self, answer: Any) -> web.Response:
--- a/chestnutfall/platform/gateway.py
+++ b/chestnutfall/platform/gateway.py
@@ -12,13 +12,13 @@
 from ..coordination.messages import FLEET_CODEC
 from ..forwarding.admission import Admission
 from ..forwarding.drain import drain
-from ..forwarding.engine_selector import EngineSelector
+from ..forwarding.engine_upstream_selector import EngineUpstreamSelector
 from ..forwarding.fleet_client import FleetClient
 from ..forwarding.fleet_knowledge import FleetKnowledge
 from ..forwarding.forwarder import Forwarder
 from ..forwarding.leader_quota_client import LeaderQuotaClient
 from ..forwarding.leader_turn_client import leader_turn_client
-from ..forwarding.plain_selector import PlainSelector
+from ..forwarding.plain_upstream_selector import PlainUpstreamSelector
 from ..forwarding.repeats import Repeats
 from ..forwarding.sender import Sender
 from ..limits.known_limits import KnownLimits
@@ -64,7 +64,7 @@
     quotas = QuotaEnforcer(
         LeaderQuotaClient(fleet), lambda: known.gateways, settings.quotas, clock, rng
     )
-    fleet.on_quotas, fleet.was_short = quotas.apply, quotas.shortage_report
+    fleet.on_quotas, fleet.shortage_report = quotas.apply, quotas.shortage_report
     upstream_limits = KnownLimits(fleet.send, lambda: known.gateways, clock, rng)
     backoffs = KnownBackoffs(fleet.send, clock)
     signals = KnownSignals(upstream_limits, backoffs, clock)
@@ -74,8 +74,8 @@
         known,
         Admission(quotas),
         Repeats(settings.repeats, lambda: known.gateways, fleet.borrow_repeat, clock, rng),
-        EngineSelector(fleet, signals, clock, name, settings.data_centre),
-        PlainSelector(
+        EngineUpstreamSelector(fleet, signals, clock, name, settings.data_centre),
+        PlainUpstreamSelector(
             known.upstreams, signals, leader_turn_client(fleet), clock, settings.data_centre, rng
         ),
         Sender(api, signals, clock, metrics),
--- a/chestnutfall/programs/gateway.py
+++ b/chestnutfall/programs/gateway.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-from ..caller_edge import CallerApp, CallerLimits, ControlQuotaLine
+from ..caller_edge import CallerApp, CallerLimits, ControlQuotaClient
 from ..clock import SystemClock
 from ..control.control_client import ControlClient
 from ..engine_edge.http_engine_api import ATTEMPT_HEADER, HttpEngineApi
@@ -81,7 +81,7 @@
         )
         self._api = HttpEngineApi(UnreadHeaders((*OWN_SIGNALS.all, ATTEMPT_HEADER), metrics.count))
         permits = ControllerPermits(self._client, session, self._clock)
-        self._owners = EngineOwners(
+        self._engine_owners = EngineOwners(
             self._agent,
             self._registry,
             self._api,
@@ -90,8 +90,8 @@
             metrics,
             lambda other: self._is_gone(other),
         )
-        self._peer_server = PeerServer(self._owners, self._clock)
-        self._links = PeerLinks(self._agent, self._owners, self._clock, tls)
+        self._peer_server = PeerServer(self._engine_owners, self._clock)
+        self._links = PeerLinks(self._agent, self._engine_owners, self._clock, tls)
         self._claims = ClaimClient(self._client, session)
         reports = ReportSender(self._client)
         quarantine = RequestQuarantine(reports.send, refuses_connections, self._clock)
@@ -116,11 +116,11 @@
             metrics,
             settings.data_centre,
         )
-        quota_client = ControlQuotaLine(self._client, self._clock)
+        quota_client = ControlQuotaClient(self._client, self._clock)
         self._quotas = QuotaEnforcer(
             quota_client, self._gateway_count, CALLER_QUOTA_BOUNDS, self._clock, random.Random()
         )
-        quota_client.on_news = self._quotas.apply
+        quota_client.on_quotas = self._quotas.apply
         dispatcher = Dispatcher(
             self._agent,
             self._registry,
@@ -146,20 +146,20 @@
         )
         self._tls = tls
         self._registry.is_drained = lambda name: self._agent.config.is_drained(name)
-        self._agent.acting = self._owners.acting
+        self._agent.acting = self._engine_owners.acting
         self._agent.on_change = self._on_change
 
-    def _report_limit(self, heard: HeardLimit) -> None:
-        self._links.report_limit(heard.instance.partition("/")[0], heard)
+    def _report_limit(self, report: HeardLimit) -> None:
+        self._links.report_limit(report.instance.partition("/")[0], report)
 
-    def _report_backoff(self, heard: HeardBackoff) -> None:
-        self._links.report_backoff(heard.instance.partition("/")[0], heard)
+    def _report_backoff(self, report: HeardBackoff) -> None:
+        self._links.report_backoff(report.instance.partition("/")[0], report)
 
     def _gateway_count(self) -> int:
         return len(self._agent.gateways)
 
     def _on_change(self) -> None:
-        self._owners.reconcile_ownership()
+        self._engine_owners.reconcile_ownership()
         self._links.update_links()
 
     def _is_gone(self, session: str) -> bool:
@@ -204,7 +204,7 @@
         """
         while True:
             await self._clock.sleep_ms(POLL_MS)
-            self._owners.reconcile_ownership()
+            self._engine_owners.reconcile_ownership()
 
     async def _drain(self, agent: asyncio.Task[None]) -> None:
         """Leave the deployment without interrupting requests.
@@ -220,7 +220,7 @@
         while self._app.in_progress:
             await self._clock.sleep_ms(POLL_MS)
         self._agent.leaving = True
-        await self._owners.close()
+        await self._engine_owners.close()
         agent.cancel()
         await asyncio.gather(agent, return_exceptions=True)
         await self._agent.send_heartbeat()
--- a/chestnutfall/quota/quota_enforcer.py
+++ b/chestnutfall/quota/quota_enforcer.py
@@ -86,10 +86,10 @@
         self._shares: dict[str, LeaderlessShare] = {}
         self._last_contact_ms = clock.now_ms()
 
-    def apply(self, news: QuotaNews) -> None:
+    def apply(self, update: QuotaNews) -> None:
         """Apply news from the leader."""
-        before = frozenset[str]() if news.whole else self._short
-        self._short = (before | frozenset(news.short)) - frozenset(news.plenty)
+        before = frozenset[str]() if update.whole else self._short
+        self._short = (before | frozenset(update.short)) - frozenset(update.plenty)
 
     def shortage_report(self) -> WasShort:
         """Return the organisations that are short, for a leader that has just started its term."""
--- a/chestnutfall/quota/quota_ledger.py
+++ b/chestnutfall/quota/quota_ledger.py
@@ -125,11 +125,11 @@
 
     # News for gateways
 
-    def whole_news(self) -> QuotaNews:
+    def full_update(self) -> QuotaNews:
         """All organisations that are short, for a gateway that has just connected."""
         return QuotaNews(True, tuple(sorted(self._announced)))
 
-    def news(self) -> QuotaNews | None:
+    def next_update(self) -> QuotaNews | None:
         """Changes since the last call, for all connected gateways; None if there are none."""
         now_ms = self._clock.now_ms()
         for name in tuple(self._short):
--- a/chestnutfall/routing/dispatcher.py
+++ b/chestnutfall/routing/dispatcher.py
@@ -196,41 +196,45 @@
         )
 
     async def _run(self, engine: Upstream, req: EngineRequest) -> Batches:
-        gate = AnswerValidator(req.attempt_id, req.model)
+        validator = AnswerValidator(req.attempt_id, req.model)
         resumes = 0
         batches = self._api.run(engine.address, req)
         try:
-            while not gate.whole:
+            while not validator.whole:
                 try:
-                    async for events in self._checked_batches(batches, gate):
+                    async for events in self._checked_batches(batches, validator):
                         yield events
                 except (EngineBroken, EngineRefused) as exc:
-                    if resumes == 0 and gate.last_number == 0 and isinstance(exc, EngineRefused):
+                    if (
+                        resumes == 0
+                        and validator.last_number == 0
+                        and isinstance(exc, EngineRefused)
+                    ):
                         raise
                     resumes += 1
-                    if resumes > MAX_RESUMES or not _may_resume(exc, req, gate.last_number):
+                    if resumes > MAX_RESUMES or not _may_resume(exc, req, validator.last_number):
                         self._raise_broken(exc)
                     self._metrics.count("resumes")
                     await self._clock.sleep_ms(self._resume_wait_ms(engine, req, resumes))
                     self._links.report_resume(engine.name)
-                    batches = self._api.resume(engine.address, req, gate.last_number)
+                    batches = self._api.resume(engine.address, req, validator.last_number)
         finally:
-            if gate.dropped:
-                self._metrics.count("events_dropped", gate.dropped)
-            if not gate.whole:
+            if validator.dropped:
+                self._metrics.count("events_dropped", validator.dropped)
+            if not validator.whole:
                 self._cancel(engine, req.attempt_id)
 
     @staticmethod
-    async def _checked_batches(batches: Batches, gate: AnswerValidator) -> Batches:
+    async def _checked_batches(batches: Batches, validator: AnswerValidator) -> Batches:
         async for batch in batches:
-            events, failure = gate.accept(batch)
+            events, failure = validator.accept(batch)
             if events:
                 yield events
             if failure is not None:
                 raise failure
-            if gate.whole:
+            if validator.whole:
                 return
-        failure = gate.check_end()
+        failure = validator.check_end()
         if failure is not None:
             raise failure
 
--- a/chestnutfall/tests/fakes/fake_links.py
+++ b/chestnutfall/tests/fakes/fake_links.py
@@ -22,7 +22,7 @@
 
 
 class FakeLinks(PeerLinks):
-    """Calls the owner desks of other gateways directly, without streams.
+    """Calls the `EngineOwners` of other gateways directly, without streams.
 
     Attributes
     ----------
@@ -33,17 +33,17 @@
     def __init__(
         self,
         agent: GatewayAgent,
-        desk: EngineOwners,
+        engine_owners: EngineOwners,
         clock: Clock,
         others: Callable[[], dict[str, FakeGateway]],
     ) -> None:
-        super().__init__(agent, desk, clock, None)
+        super().__init__(agent, engine_owners, clock, None)
         self._others = others
         self.cut = False
 
-    def _desk_of(self, session: str) -> EngineOwners | None:
+    def _engine_owners_of(self, session: str) -> EngineOwners | None:
         if session == self._agent.session:
-            return self._desk
+            return self._engine_owners
         own = self._others().get(self._agent.session)
         other = self._others().get(session)
         here_gone = self.cut or own is None or not own.alive
@@ -55,20 +55,20 @@
 
     async def acquire(self, req: TicketRequest) -> TicketGrant | TicketRefusal:
         owner = self._agent.owners.get(req.engine)
-        desk = self._desk_of(owner.owner) if owner else None
-        if desk is None:
+        engine_owners = self._engine_owners_of(owner.owner) if owner else None
+        if engine_owners is None:
             return TicketRefusal(req.attempt_id, "owner_unreachable", 0)
-        return await desk.acquire(req, self._agent.session)
+        return await engine_owners.acquire(req, self._agent.session)
 
     def _send_to_owner(self, engine: str, msg: OwnerNotification) -> None:
         owner = self._agent.owners.get(engine)
-        desk = self._desk_of(owner.owner) if owner else None
-        if desk is not None:
-            desk.handle(msg)
+        engine_owners = self._engine_owners_of(owner.owner) if owner else None
+        if engine_owners is not None:
+            engine_owners.handle(msg)
 
     def views(self) -> Iterator[EngineView]:
         sessions = {one.owner for one in self._agent.owners.values()}
         for session in sorted(sessions):
-            desk = self._desk_of(session)
-            if desk is not None:
-                yield from desk.views()
+            engine_owners = self._engine_owners_of(session)
+            if engine_owners is not None:
+                yield from engine_owners.views()
--- a/chestnutfall/tests/fakes/fake_office.py
+++ b/chestnutfall/tests/fakes/fake_office.py
@@ -68,14 +68,14 @@
         self.agent.on_suspects = self.quarantine.update
         self.registry.on_replaced = self.quarantine.note_replaced
         limits = KnownLimits(
-            lambda heard: self.links.report_limit(heard.instance.partition("/")[0], heard),
+            lambda report: self.links.report_limit(report.instance.partition("/")[0], report),
             lambda: len(self.agent.gateways),
             self.clock,
             random.Random(1),
             leaderless_fraction=1.0,
         )
         backoffs = KnownBackoffs(
-            lambda heard: self.links.report_backoff(heard.instance.partition("/")[0], heard),
+            lambda report: self.links.report_backoff(report.instance.partition("/")[0], report),
             self.clock,
         )
         self.signals = KnownSignals(limits, backoffs, self.clock)
--- a/chestnutfall/tests/fakes/limit_office.py
+++ b/chestnutfall/tests/fakes/limit_office.py
@@ -68,9 +68,9 @@
         """Send a call once; return the upstream that failed it, or an empty string."""
         began_ms = self.clock.now_ms()
         organisation = wanted.organisation
-        places = gateway.selectors[wanted.service.name]
+        selector = gateway.selectors[wanted.service.name]
         try:
-            place = await places.select(wanted)
+            place = await selector.select(wanted)
         except NoPlace as exc:
             waited_ms = self.clock.now_ms() - began_ms
             self.refused.append(Refused(organisation, exc.reason, waited_ms, exc.retry_after_ms))
@@ -88,7 +88,7 @@
         await self.clock.sleep_ms(RUN_MS)
         upstream.running -= 1
         outcome = RunOutcome.BROKEN if fails else RunOutcome.DONE
-        places.release(place, outcome, RunTimes(HEAD_MS, 0.0, 0.0), load)
+        selector.release(place, outcome, RunTimes(HEAD_MS, 0.0, 0.0), load)
         return place.upstream.instance if fails else ""
 
 
--- a/chestnutfall/tests/fakes/placement_case.py
+++ b/chestnutfall/tests/fakes/placement_case.py
@@ -42,9 +42,9 @@
 
     def setUp(self) -> None:
         self.clock = ManualClock(60_000)
-        self.book = LimitRegistry(self.clock)
+        self.limits = LimitRegistry(self.clock)
         self.backoffs = BackoffRegistry(self.clock)
-        self.placer = Placer(self.clock, self.book, self.backoffs)
+        self.placer = Placer(self.clock, self.limits, self.backoffs)
         self.runs_on = False
         self.granted: dict[str, str] = {}
         self.rejected: dict[str, Reject] = {}
@@ -56,7 +56,7 @@
         self.placer.engine_reported(name, EngineReport({"base": 1}, held, {}, 0))
 
     def _limit(self, name: str, per_s: float | None) -> None:
-        self.book.update(HeardLimit(name, per_s, 0), counts_sends=True)
+        self.limits.update(HeardLimit(name, per_s, 0), counts_sends=True)
         self.placer.limit_changed(name)
 
     def _back_off(self, name: str, gateway: str, left_ms: int | None) -> None:
--- a/chestnutfall/tests/fakes/placing_gateway.py
+++ b/chestnutfall/tests/fakes/placing_gateway.py
@@ -8,12 +8,12 @@
 from ...clock import Clock
 from ...coordination.holdings_diff import holdings_change
 from ...coordination.messages import UpstreamsChange
-from ...forwarding.engine_selector import EngineSelector
+from ...forwarding.engine_upstream_selector import EngineUpstreamSelector
 from ...forwarding.fleet_client import FleetClient
 from ...forwarding.fleet_knowledge import FleetKnowledge
 from ...forwarding.leader_turn_client import leader_turn_client
 from ...forwarding.place import UpstreamSelector
-from ...forwarding.plain_selector import PlainSelector
+from ...forwarding.plain_upstream_selector import PlainUpstreamSelector
 from ...limits.known_limits import KnownLimits
 from ...placement import ReadyAdapter
 from ...platform.document_json import DocumentJson
@@ -51,8 +51,8 @@
         self.fleet.on_limits, self.fleet.on_hints = limits.apply, backoffs.apply_hints
         self.fleet.signals_to_resend = self.signals.reports_for_new_leader
         self.selectors: dict[str, UpstreamSelector] = {
-            ENGINES: EngineSelector(self.fleet, self.signals, clock, name, "dc"),
-            PLAIN: PlainSelector(
+            ENGINES: EngineUpstreamSelector(self.fleet, self.signals, clock, name, "dc"),
+            PLAIN: PlainUpstreamSelector(
                 self.known.upstreams, self.signals, leader_turn_client(self.fleet), clock, "dc", rng
             ),
         }
@@ -74,8 +74,8 @@
     def join(self, leader: PlacingLeader) -> None:
         """Connect to a leader."""
         leader.add_gateway(self.name)
-        for heard in self.signals.reports_for_new_leader():
-            leader.handle(self.name, heard)
+        for report in self.signals.reports_for_new_leader():
+            leader.handle(self.name, report)
         self.fleet._on_connected("leader")
 
     def lose(self) -> None:
--- a/chestnutfall/tests/fakes/quota_office.py
+++ b/chestnutfall/tests/fakes/quota_office.py
@@ -76,7 +76,7 @@
         self.ledger: QuotaLedger | None = None
         self.passed: list[tuple[int, float]] = []
         self.refused = self.asked = self.messages = 0
-        self._news: deque[tuple[int, int, QuotaNews]] = deque()
+        self._updates: deque[tuple[int, int, QuotaNews]] = deque()
         rng = random.Random(1)
         self.clients = [_SimulatedClient(self) for _ in range(gateways)]
         self.enforcers = [
@@ -93,7 +93,7 @@
             if not client.cut:
                 self.ledger.note_short(self.enforcers[at].shortage_report().organisations)
                 client.knows_of_cut = False
-                self.enforcers[at].apply(self.ledger.whole_news())
+                self.enforcers[at].apply(self.ledger.full_update())
 
     def lose_leader(self) -> None:
         """Leave the gateways without a leader."""
@@ -114,7 +114,7 @@
         """Connect a gateway again that was cut off."""
         self.clients[gateway].cut = self.clients[gateway].knows_of_cut = False
         if self.ledger is not None:
-            self.enforcers[gateway].apply(self.ledger.whole_news())
+            self.enforcers[gateway].apply(self.ledger.full_update())
 
     async def request(self, gateway: int, tokens: int) -> bool:
         """Send one request through a gateway; return whether it was admitted."""
@@ -131,18 +131,18 @@
         """Let time pass in steps, in which gateways send reports and the leader sends news."""
         for _ in range(max(ms // step_ms, 1)):
             self.clock._now_ms += min(step_ms, ms)
-            self._send_news()
+            self._send_update()
             if self.clock.now_ms() % 200 < step_ms:
                 for enforcer in self.enforcers:
                     enforcer.report_use()
 
-    def _send_news(self) -> None:
-        news = self.ledger.news() if self.ledger is not None else None
-        if news is None:
+    def _send_update(self) -> None:
+        update = self.ledger.next_update() if self.ledger is not None else None
+        if update is None:
             return
         for client, enforcer in zip(self.clients, self.enforcers, strict=True):
             if not client.cut:
-                enforcer.apply(news)
+                enforcer.apply(update)
 
     def most_in_window(self, from_ms: int = 0) -> float:
         """Return the most units admitted in any window that starts at `from_ms` or later."""
--- a/chestnutfall/tests/fakes/signal_office.py
+++ b/chestnutfall/tests/fakes/signal_office.py
@@ -112,7 +112,7 @@
         elif status == 503 and upstream.proves_not_run:
             not_run = NotRun.FULL
         if upstream.leaving:
-            upstream.leaving_told_ms.setdefault(self._gateway, now_ms)
+            upstream.leaving_answered_ms.setdefault(self._gateway, now_ms)
         if isinstance(signals.backoff, AskedBackoff):
             upstream.backoff_requests.append(
                 BackoffRequest(now_ms, self._gateway, signals.backoff.ms)
@@ -318,10 +318,10 @@
         for at_ms, gateway in upstream.arrivals:
             if gateway == asked.gateway and known_ms < at_ms < until_ms:
                 yield f"{instance}: {gateway} at {at_ms}, asked at {asked.at_ms}"
-    for gateway, told_ms in upstream.leaving_told_ms.items():
+    for gateway, answered_ms in upstream.leaving_answered_ms.items():
         for at_ms, by in upstream.arrivals:
-            if by == gateway and at_ms > told_ms + HEAD_MS:
-                yield f"{instance}: {gateway} at {at_ms}, told at {told_ms}"
+            if by == gateway and at_ms > answered_ms + HEAD_MS:
+                yield f"{instance}: {gateway} at {at_ms}, told at {answered_ms}"
 
 
 def _table() -> RouteTable:
--- a/chestnutfall/tests/fakes/signalling_upstream.py
+++ b/chestnutfall/tests/fakes/signalling_upstream.py
@@ -57,7 +57,7 @@
         Time and gateway of each request that it received.
     backoff_requests : list of BackoffRequest
         Its rejections that asked for a backoff.
-    leaving_told_ms : dict of str to int
+    leaving_answered_ms : dict of str to int
         Clock time of the first answer to each gateway that says that it is leaving.
     """
 
@@ -73,7 +73,7 @@
     running: int = 0
     arrivals: list[tuple[int, str]] = field(default_factory=list)
     backoff_requests: list[BackoffRequest] = field(default_factory=list)
-    leaving_told_ms: dict[str, int] = field(default_factory=dict)
+    leaving_answered_ms: dict[str, int] = field(default_factory=dict)
 
     def signals(self, status: int) -> UpstreamSignals:
         """The signals of an answer with this status."""
--- a/chestnutfall/tests/office_scenario.py
+++ b/chestnutfall/tests/office_scenario.py
@@ -99,12 +99,12 @@
 
     def requests_in_backoffs(self) -> Iterator[RequestsAfterSignal]:
         """Yield the requests that arrived within each backoff of all upstreams."""
-        for history in self.office.book.signals.values():
+        for history in self.office.run_registry.signals.values():
             yield from history.requests_in_backoffs()
 
     def requests_after_leaving(self) -> Iterator[RequestsAfterSignal]:
         """Yield the requests that arrived at upstreams too late after they signalled to leave."""
-        for history in self.office.book.signals.values():
+        for history in self.office.run_registry.signals.values():
             yield from history.requests_after_leaving()
 
 
--- a/chestnutfall/tests/test_backoff_completions.py
+++ b/chestnutfall/tests/test_backoff_completions.py
@@ -52,9 +52,9 @@
         self.assertEqual({one.status for one in self.refusals}, {503})
         self.assertEqual({one.executed for one in self.refusals}, {Executed.NO})
         self.assertEqual(max(self.refused_after_ms), 0)
-        told_ms = [one.retry_after_ms or 0 for one in self.refusals]
-        self.assertGreaterEqual(min(told_ms), 3_000 - 1_200)
-        self.assertLessEqual(max(told_ms), 6_000)
+        retry_after_ms = [one.retry_after_ms or 0 for one in self.refusals]
+        self.assertGreaterEqual(min(retry_after_ms), 3_000 - 1_200)
+        self.assertLessEqual(max(retry_after_ms), 6_000)
         self.office.engine().backoff = None
         await self._load(2_200)
         self.served = self.asked = 0
@@ -111,7 +111,7 @@
             return await acquire(req)
 
         gateway.links.acquire = counted  # type: ignore[method-assign, assignment]
-        gateway.links.report_backoff = lambda engine, heard: None  # type: ignore[method-assign]
+        gateway.links.report_backoff = lambda engine, report: None  # type: ignore[method-assign]
         leaving = next(iter(gateway.registry.serving()))
         signals = UpstreamSignals(leaving=True)
         gateway.signals.observe(leaving.instance, signals, 0, succeeded=True)
--- a/chestnutfall/tests/test_backoff_parts.py
+++ b/chestnutfall/tests/test_backoff_parts.py
@@ -186,39 +186,39 @@
         self.assertEqual(self.backoff.unavailable_ms("g", 0), 0)
 
 
-class BackoffDeskTest(unittest.TestCase):
+class BackoffCoordinatorTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = ManualClock(60_000)
         self.registry = BackoffRegistry(self.clock)
         self.sessions = GatewaySessions()
         placer = Placer(self.clock, backoffs=self.registry)
-        self.desk = BackoffCoordinator(self.registry, placer, self.sessions, self.clock)
+        self.coordinator = BackoffCoordinator(self.registry, placer, self.sessions, self.clock)
         self.reporting, self.other = self._join("g1"), self._join("g2")
 
     def _join(self, name: str) -> GatewaySession:
         session = GatewaySession(name)
         self.sessions.add(session)
-        self.desk.send_initial_state(session)
+        self.coordinator.send_initial_state(session)
         return session
 
     def _received(self, session: GatewaySession) -> list[object]:
         return [session.out.get_nowait() for _ in range(session.out.qsize())]
 
     def test_all_are_told_at_once_and_then_ten_times_a_second(self) -> None:
-        self.desk.record_backoff(self.reporting, HeardBackoff("p", 3_000))
-        self.desk.send_due()
+        self.coordinator.record_backoff(self.reporting, HeardBackoff("p", 3_000))
+        self.coordinator.send_due()
         self.assertEqual(self._received(self.other), [BackoffHints((HeardBackoff("p", 3_000),))])
         for left_ms in (3_500, 4_000):
-            self.desk.record_backoff(self.reporting, HeardBackoff("p", left_ms))
-            self.desk.send_due()
+            self.coordinator.record_backoff(self.reporting, HeardBackoff("p", left_ms))
+            self.coordinator.send_due()
         self.assertEqual(self._received(self.other), [])
         self.clock._now_ms += SEND_INTERVAL_MS
-        self.desk.send_due()
+        self.coordinator.send_due()
         self.assertEqual(len(self._received(self.other)), 1)
 
     def test_one_that_joins_is_told_what_holds(self) -> None:
-        self.desk.record_backoff(self.reporting, HeardBackoff("p", 3_000))
-        self.desk.record_backoff(self.reporting, HeardBackoff("q", None))
+        self.coordinator.record_backoff(self.reporting, HeardBackoff("p", 3_000))
+        self.coordinator.record_backoff(self.reporting, HeardBackoff("q", None))
         self.clock._now_ms += 1_000
         hints = BackoffHints((HeardBackoff("p", 2_000), HeardBackoff("q", None)))
         self.assertEqual(self._received(self._join("g3")), [hints])
@@ -230,23 +230,23 @@
     # Guards against thousands of hints at once to hundreds of gateways.
     def test_one_message_is_bounded(self) -> None:
         for number in range(1_000):
-            self.desk.record_backoff(self.reporting, HeardBackoff(f"p{number}", 3_000))
-        self.desk.send_due()
+            self.coordinator.record_backoff(self.reporting, HeardBackoff(f"p{number}", 3_000))
+        self.coordinator.send_due()
         (msg,) = self._received(self.other)
         self.assertEqual(len(getattr(msg, "hints", ())), MAX_HINTS)
 
     # Guards against memory that grows with every incarnation that left.
     def test_upstreams_that_are_gone_are_forgotten_but_for_the_last(self) -> None:
         for number in range(MAX_ABSENT_UPSTREAMS + 500):
-            self.desk.record_backoff(self.reporting, HeardBackoff(f"p{number}", None))
-        self.desk.set_serving([UpstreamRecord("p0", "s", "1:1", "dc")])
+            self.coordinator.record_backoff(self.reporting, HeardBackoff(f"p{number}", None))
+        self.coordinator.set_serving([UpstreamRecord("p0", "s", "1:1", "dc")])
         self.assertEqual(len(list(self.registry.active_hints())), MAX_ABSENT_UPSTREAMS + 1)
 
     def test_a_gateway_that_is_gone_is_forgotten(self) -> None:
-        self.desk.record_backoff(self.reporting, HeardBackoff("p", 3_000))
+        self.coordinator.record_backoff(self.reporting, HeardBackoff("p", 3_000))
         self.clock._now_ms += PROBE_MS
         self.assertFalse(self.registry.may_send("g1", "p"))
-        self.desk.remove_gateway(self.reporting)
+        self.coordinator.remove_gateway(self.reporting)
         self.assertTrue(self.registry.may_send("g1", "p"))
 
 
--- a/chestnutfall/tests/test_caller_quotas.py
+++ b/chestnutfall/tests/test_caller_quotas.py
@@ -13,7 +13,7 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from ..caller_edge import CallerLimits, ControlQuotaLine
+from ..caller_edge import CallerLimits, ControlQuotaClient
 from ..clock import ManualClock
 from ..config.caller import Caller
 from ..control.caller_quotas import CallerQuotas
@@ -52,11 +52,11 @@
         self.passed: list[int] = []
 
     def _gateway(self) -> tuple[CallerLimits, QuotaEnforcer]:
-        line = ControlQuotaLine(cast(ControlClient, self.client), self.clock)
+        quota_client = ControlQuotaClient(cast(ControlClient, self.client), self.clock)
         enforcer = QuotaEnforcer(
-            line, lambda: GATEWAYS, CALLER_QUOTA_BOUNDS, self.clock, random.Random(1)
+            quota_client, lambda: GATEWAYS, CALLER_QUOTA_BOUNDS, self.clock, random.Random(1)
         )
-        line.on_news = enforcer.apply
+        quota_client.on_quotas = enforcer.apply
         return CallerLimits(enforcer, self.clock), enforcer
 
     async def _request(self, gateway: int) -> str:
--- a/chestnutfall/tests/test_fatal_requests.py
+++ b/chestnutfall/tests/test_fatal_requests.py
@@ -57,7 +57,7 @@
         while len(seen) < TRIES:
             seen += await self.fatal.send_to_each_gateway(route)
         self.assertLessEqual(self.fatal.ends(route) - ends, MAX_LATER_ENDS)
-        refused = [one for one in seen if not self.office.book.runs[one.request_id]]
+        refused = [one for one in seen if not self.office.run_registry.runs[one.request_id]]
         self.assertEqual({one.status for one in refused}, {503})
 
     async def _until_served(self) -> None:
--- a/chestnutfall/tests/test_leaving_together.py
+++ b/chestnutfall/tests/test_leaving_together.py
@@ -31,7 +31,9 @@
 
     def _check(self, office: SignalOffice, from_ms: int) -> None:
         self.assertEqual(office.violations(), [])
-        self.assertGreater(sum(len(one.leaving_told_ms) for one in office.upstreams.values()), 0)
+        self.assertGreater(
+            sum(len(one.leaving_answered_ms) for one in office.upstreams.values()), 0
+        )
         for service in RATES:
             self.assertEqual(office.served(service, from_ms), 1.0)
 
--- a/chestnutfall/tests/test_named_limits.py
+++ b/chestnutfall/tests/test_named_limits.py
@@ -34,7 +34,7 @@
         await asyncio.sleep(LOAD_S)
 
     def _check(self, upstream: StandInUpstream) -> None:
-        arrivals = self.play.office.book.arrival_times_s[upstream.instance]
+        arrivals = self.play.office.run_registry.arrival_times_s[upstream.instance]
         moments = [at_s * 1000 for at_s in arrivals]
         self.assertEqual(list(self.history.excesses(moments)), [])
         used = sum(at_ms >= self.history.began_ms + SETTLE_MS for at_ms in moments)
--- a/chestnutfall/tests/test_named_signals.py
+++ b/chestnutfall/tests/test_named_signals.py
@@ -45,8 +45,8 @@
         refused = play.refused(self.began_s + SETTLE_S, self.ended_s)
         self.assertGreater(len(refused), 0)
         # The first refusals come within the first half second, so the least retry time is known.
-        told_s = [seen.retry_after_s or 0.0 for seen in refused]
-        self.assertGreater(min(told_s), BACKOFF_S - 1.0 - SETTLE_S)
+        retry_after_s = [seen.retry_after_s or 0.0 for seen in refused]
+        self.assertGreater(min(retry_after_s), BACKOFF_S - 1.0 - SETTLE_S)
         self.assertGreaterEqual(
             play.success_ratio(self.ended_s + BACKOFF_S + SETTLE_S), MIN_SERVED_AFTER
         )
--- a/chestnutfall/tests/test_selectors.py
+++ b/chestnutfall/tests/test_upstream_selectors.py
@@ -16,11 +16,11 @@
 from ..coordination.holdings_diff import holdings_change
 from ..coordination.messages import Release, UpstreamsChange, Withdraw
 from ..forwarding.call import Call
-from ..forwarding.engine_selector import LEADERLESS_WAIT_MS, EngineSelector
+from ..forwarding.engine_upstream_selector import LEADERLESS_WAIT_MS, EngineUpstreamSelector
 from ..forwarding.fleet_client import FleetClient, LeaderLost
 from ..forwarding.fleet_knowledge import FleetKnowledge
 from ..forwarding.place import NoPlace, Place, SelectionCriteria
-from ..forwarding.plain_selector import PlainSelector
+from ..forwarding.plain_upstream_selector import PlainUpstreamSelector
 from ..placement import AdapterName, Grant, PlaceRequest, ReadyAdapter, Reject, RunOutcome
 from ..placement.run_times import NO_TIMES
 from ..platform.document_json import DocumentJson
@@ -64,12 +64,12 @@
         self.sent.append(msg)
 
 
-class EngineSelectorTest(unittest.IsolatedAsyncioTestCase):
+class EngineUpstreamSelectorTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.clock = ManualClock()
 
-    def _selector(self, fleet: _Fleet) -> EngineSelector:
-        return EngineSelector(fleet, known_signals(self.clock), self.clock, "g", "dc")
+    def _selector(self, fleet: _Fleet) -> EngineUpstreamSelector:
+        return EngineUpstreamSelector(fleet, known_signals(self.clock), self.clock, "g", "dc")
 
     async def test_without_a_leader_the_adapter_s_last_holders_are_used_in_turn(self) -> None:
         fleet = _Fleet(self.clock)
@@ -98,7 +98,7 @@
         fleet = _Fleet(self.clock)
         fleet.hold(ReadyAdapter("1", NAME, 3), ReadyAdapter("2", NAME, 3))
         signals = known_signals(self.clock)
-        selector = EngineSelector(fleet, signals, self.clock, "g", "dc")
+        selector = EngineUpstreamSelector(fleet, signals, self.clock, "g", "dc")
         signals.observe("1", UpstreamSignals(leaving=True), 0, succeeded=True)
         taken = [await selector.select(_criteria()) for _ in range(4)]
         self.assertEqual({one.upstream.instance for one in taken}, {"2"})
@@ -139,11 +139,11 @@
         self.assertEqual([type(msg) for msg in fleet.sent], [Withdraw])
 
 
-class PlainSelectorTest(unittest.IsolatedAsyncioTestCase):
+class PlainUpstreamSelectorTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.clock = ManualClock()
         self.upstreams = [_upstream("1"), _upstream("2")]
-        self.selector = PlainSelector(
+        self.selector = PlainUpstreamSelector(
             lambda service: self.upstreams,
             known_signals(self.clock),
             ScriptedTurns().ask,
--- a/properties/ablation_list.py
+++ b/properties/ablation_list.py
@@ -33,7 +33,7 @@
     ),
     Mutant(
         "waits go on when callers have left",
-        "chestnutfall/forwarding/engine_selector.py",
+        "chestnutfall/forwarding/engine_upstream_selector.py",
         "    return int(criteria.call.arrived_ms"
         " + answer_timeouts.caller_timeout_ms(criteria.route))",
         "    return criteria.until_ms",
--- a/properties/safeguards/caller_mutants.py
+++ b/properties/safeguards/caller_mutants.py
@@ -99,7 +99,7 @@
     Mutant(
         "caller that leaves keeps its place",
         _DISPATCHER,
-        "            if not gate.whole:\n                self._cancel(engine, req.attempt_id)",
+        "            if not validator.whole:\n                self._cancel(engine, req.attempt_id)",
         "            pass",
         _FAULTS_TEST,
     ),
--- a/properties/safeguards/limit_mutants.py
+++ b/properties/safeguards/limit_mutants.py
@@ -83,7 +83,7 @@
     Mutant(
         "a gateway that missed the end of a limit is not told",
         "chestnutfall/coordination/limit_coordinator.py",
-        "        if holds_per_s is None and heard.per_s is not None:",
+        "        if holds_per_s is None and report.per_s is not None:",
         "        if False:",
         "chestnutfall.tests.test_limit_coordinator",
     ),
@@ -96,7 +96,7 @@
     ),
     Mutant(
         "plain upstreams are chosen without a turn",
-        "chestnutfall/forwarding/plain_selector.py",
+        "chestnutfall/forwarding/plain_upstream_selector.py",
         "        if self._signals.limits.per_s(chosen.instance) is not None:",
         "        if False:",
         f"{_TOGETHER_TEST}.test_any_number_of_gateways_keeps_a_limit_and_uses_it",
--- a/properties/safeguards/signal_mutants.py
+++ b/properties/safeguards/signal_mutants.py
@@ -40,15 +40,15 @@
     ),
     Mutant(
         "places from memory are on engines that want nothing",
-        "chestnutfall/forwarding/engine_selector.py",
+        "chestnutfall/forwarding/engine_upstream_selector.py",
         "            and self._signals.may_send(held.instance)\n",
         "",
-        "chestnutfall.tests.test_selectors.EngineSelectorTest"
+        "chestnutfall.tests.test_upstream_selectors.EngineUpstreamSelectorTest"
         ".test_without_a_leader_an_engine_that_backs_off_is_not_selected",
     ),
     Mutant(
         "plain upstreams that want nothing are chosen",
-        "chestnutfall/forwarding/plain_selector.py",
+        "chestnutfall/forwarding/plain_upstream_selector.py",
         "accepting = [one for one in upstreams if self._signals.may_send(one.instance)]",
         "accepting = list(upstreams)",
         f"{_TOGETHER_TEST}.test_one_call_meets_several_that_ask_for_time",
--- a/soak/fatal_requests.py
+++ b/soak/fatal_requests.py
@@ -88,4 +88,4 @@
 
     def ends(self, route: str) -> int:
         """Return the number of crashes under the body of a route."""
-        return self._office.book.ends[CONTENTS[route]]
+        return self._office.run_registry.ends[CONTENTS[route]]
--- a/soak/limit_episodes.py
+++ b/soak/limit_episodes.py
@@ -61,11 +61,11 @@
             upstream.limit = None
             self._episodes.append(_Episode(instance, history, _now_ms()))
 
-    def check(self, book: RunRegistry, verdict: Verdict) -> None:
+    def check(self, run_registry: RunRegistry, verdict: Verdict) -> None:
         """Note each episode in which an upstream got more requests than its limits allow."""
         verdict.counts["limits named"] = len(self._episodes)
         for one in self._episodes:
-            moments = [at_s * 1000 for at_s in book.arrival_times_s.get(one.instance, [])]
+            moments = [at_s * 1000 for at_s in run_registry.arrival_times_s.get(one.instance, [])]
             in_time = [at_ms for at_ms in moments if at_ms <= one.end_ms]
             for excess in one.history.excesses(in_time):
                 limits = [f"{per_s:.1f}" for _, per_s in one.history.announced]
--- a/soak/office.py
+++ b/soak/office.py
@@ -28,7 +28,7 @@
 
     Attributes
     ----------
-    book : RunBook
+    run_registry : RunRegistry
         What the upstreams ran and received.
     control_addresses : list of str
         Addresses of the controllers for operators and announcements.
@@ -41,7 +41,7 @@
         # Two unused draws. Addresses were once drawn here; without the draws, seeds that failed
         # before would play differently.
         rng.randrange(20, 120), rng.randrange(1, 250)
-        self.book = RunRegistry()
+        self.run_registry = RunRegistry()
         network = _process_network()
         self._ports = Ports(*_free_ports(4))
         ips = [f"{network}.{at + 1}" for at in range(CONTROLLERS)]
@@ -79,7 +79,9 @@
             await self._add_upstream(service, is_engine)
 
     async def _add_upstream(self, service: str, is_engine: bool) -> None:
-        upstream = StandInUpstream(service, is_engine, self.book, self._rng, self.control_addresses)
+        upstream = StandInUpstream(
+            service, is_engine, self.run_registry, self._rng, self.control_addresses
+        )
         await upstream.start()
         relay = Relay(upstream.address)
         await relay.start()
--- a/soak/organisation_load.py
+++ b/soak/organisation_load.py
@@ -49,9 +49,9 @@
                 seen.status != 401, f"{gateway.plan.name} takes a key that is gone"
             )
 
-    def check_quota(self, book: RunRegistry, verdict: Verdict) -> None:
+    def check_quota(self, run_registry: RunRegistry, verdict: Verdict) -> None:
         """Note a window in which the busy organisation has more runs than its quota allows."""
-        max_runs = book.max_in_window(BUSY, QUOTA_WINDOW_S)
+        max_runs = run_registry.max_in_window(BUSY, QUOTA_WINDOW_S)
         bound = (BUSY_PER_S * QUOTA_WINDOW_S + BUSY_BURST) * (1 + QUOTA_OVER) + QUOTA_SLACK
         verdict.counts["most runs of the busy one in a window"] = max_runs
         verdict.note_violation(
--- a/soak/signal_episodes.py
+++ b/soak/signal_episodes.py
@@ -94,7 +94,7 @@
         """Note each gateway that sent requests in spite of a backoff or a departure."""
         verdict.counts["times asked for"] = self._backoffs_requested
         verdict.counts["upstreams left"] = self._departures
-        for instance, history in self._office.book.signals.items():
+        for instance, history in self._office.run_registry.signals.items():
             for finding in self._violations(history):
                 verdict.note_violation(True, f"{instance}: {finding}")
 
--- a/soak/soak_run.py
+++ b/soak/soak_run.py
@@ -78,9 +78,9 @@
             await self._office.stop()
         self._check_requests()
         organisations = OrganisationLoad(self._office, client)
-        organisations.check_quota(self._office.book, self.verdict)
+        organisations.check_quota(self._office.run_registry, self.verdict)
         organisations.check_logs(self._folder, self.verdict)
-        self._limits.check(self._office.book, self.verdict)
+        self._limits.check(self._office.run_registry, self.verdict)
         self._signals.check(self.verdict)
         return self.verdict
 
@@ -201,17 +201,17 @@
         return False
 
     def _check_requests(self) -> None:
-        book = self._office.book
-        for finding in book.violations:
+        run_registry = self._office.run_registry
+        for finding in run_registry.violations:
             self.verdict.note_violation(True, finding)
         for seen in self._seen:
-            runs = book.runs[seen.request_id]
+            runs = run_registry.runs[seen.request_id]
             what = f"{seen.route} {seen.request_id} status {seen.status}, {runs} runs"
             self.verdict.note_violation(not seen.correct, f"wrong bytes: {what}")
             runs_once = seen.route in NON_IDEMPOTENT_ROUTES
             self.verdict.note_violation(runs_once and runs > 1, f"ran more than once: {what}")
             self.verdict.note_violation(seen.says_not_run and runs > 0, f"called not run: {what}")
-            forwarded = book.organisations.get(seen.request_id, seen.organisation)
+            forwarded = run_registry.organisations.get(seen.request_id, seen.organisation)
             self.verdict.note_violation(
                 forwarded != seen.organisation, f"told as one of {forwarded}: {what}"
             )
