--- a/chestnutfall/forwarding/answer_timeouts.py
+++ b/chestnutfall/forwarding/answer_timeouts.py
@@ -5,8 +5,8 @@
 from ..routes import Route
 from .call import Call
 
-SLOW_READ_TOKENS_PER_MS = 15.0
-"""Prompt reading speed of a busy engine, about a third of its full speed."""
+SLOW_PREFILL_TOKENS_PER_MS = 15.0
+"""Prefill speed of a busy engine, about a third of its full speed."""
 PAUSE_FACTOR = 3
 """Pause timeout in pause objectives. Pauses of a busy engine stay below twice the objective; a hung
 engine never ends its pause."""
@@ -27,8 +27,8 @@
 
 def first_byte_timeout_ms(route: Route, call: Call) -> float:
     """Return the longest wait for the beginning of an answer, in ms."""
-    read_ms = call.prompt_tokens / SLOW_READ_TOKENS_PER_MS
-    return max(OBJECTIVE_FRACTION * route.objective_ms, MIN_TIMEOUT_MS) + read_ms
+    prefill_ms = call.prompt_tokens / SLOW_PREFILL_TOKENS_PER_MS
+    return max(OBJECTIVE_FRACTION * route.objective_ms, MIN_TIMEOUT_MS) + prefill_ms
 
 
 def caller_timeout_ms(route: Route) -> float:
--- a/chestnutfall/forwarding/drain.py
+++ b/chestnutfall/forwarding/drain.py
@@ -11,7 +11,7 @@
 BALANCER_NOTICE_MS = 2_500
 """Time for load balancers to stop sending new connections. A balancer that polls every second
 removes a host after two failed checks; half a second is spare. A longer time leaves less of the
-grace time to the last calls: at 3.0 s, a draft that arrived just before the end of this time was
+grace time to the last calls: at 3.0 s, a call that arrived just before the end of this time was
 cut off when its host was killed at 8 s."""
 CLOSE_RESERVE_MS = 600
 """Part of the grace time reserved for closing connections and ending the process."""
--- a/chestnutfall/forwarding/first_message_timeouts.py
+++ b/chestnutfall/forwarding/first_message_timeouts.py
@@ -13,9 +13,9 @@
 
     After an outage all gateways connect to the new leader at once, so its first messages are late.
     If every gateway disconnects after the same short time and tries again, the leader is kept busy
-    with greetings that no gateway waits for, and a quarter of the gateways finds no leader for ten
-    seconds although it serves the others. A doubled timeout outlasts this rush after two or three
-    tries.
+    with first messages that no gateway waits for any more, and a quarter of the gateways finds no
+    leader for ten seconds although it serves the others. A doubled timeout outlasts this rush after
+    two or three tries.
     """
 
     def __init__(self) -> None:
--- a/chestnutfall/forwarding/sender.py
+++ b/chestnutfall/forwarding/sender.py
@@ -189,7 +189,7 @@
 
     def _may_resend_elsewhere(self) -> bool:
         # The last upstream of a service answers late if it is overloaded. A call that gives up on
-        # it wastes the work done there and starts again at the end of its queue: 275 of 944 lookups
+        # it wastes the work done there and starts again at the end of its queue: 275 of 944 calls
         # were lost this way after three of four upstreams had gone.
         if not self._place.has_other:
             return False
--- a/chestnutfall/ownership/adapter_loader.py
+++ b/chestnutfall/ownership/adapter_loader.py
@@ -20,6 +20,7 @@
 STATE_TIMEOUT_MS = 500
 ORDER_TIMEOUT_MS = 500
 IN_USE_PAUSE_MS = 250
+"""How long a slot is not evicted after the engine reported a run on its adapter."""
 
 
 class LoadOutcome(Enum):
@@ -35,14 +36,14 @@
 
     Parameters
     ----------
-    may_act : callable
+    current_epoch : callable
         Returns the epoch of the ownership while this gateway may act for the engine, else None.
     """
 
     def __init__(
         self,
         engine: str,
-        may_act: Callable[[], int | None],
+        current_epoch: Callable[[], int | None],
         registry: UpstreamRegistry,
         api: EngineApi,
         permits: LoadPermits,
@@ -50,7 +51,7 @@
         metrics: Metrics,
     ) -> None:
         self._engine = engine
-        self._may_act = may_act
+        self._current_epoch = current_epoch
         self._registry = registry
         self._api = api
         self._permits = permits
@@ -151,7 +152,7 @@
         # drop an adapter that is in use. Engines with fencing compare the epoch with the newest
         # they have seen. For the others the lease is checked directly before sending, and a
         # successor waits for the lease plus the order timeout.
-        epoch = self._may_act()
+        epoch = self._current_epoch()
         address = self._address()
         if epoch is None or address is None:
             return False
--- a/chestnutfall/ownership/engine_owner.py
+++ b/chestnutfall/ownership/engine_owner.py
@@ -31,10 +31,13 @@
 
 log = logging.getLogger(__name__)
 REFRESH_MS = 1000
+"""Interval between reads of the engine's state."""
 POLL_MS = 250
+"""Longest time between two passes over the queue."""
 MIN_POLL_MS = 5
 """Bounds the polling of a queue that waits for something other than the engine's limit."""
 RETRY_MS = 1000
+"""Retry time of requests that waited in vain for a ticket."""
 
 
 class EngineOwner:
@@ -42,7 +45,7 @@
 
     Parameters
     ----------
-    may_act : callable
+    current_epoch : callable
         Returns the epoch of the ownership while this gateway may act for the engine, else None.
     is_gone : callable
         Whether the gateway with a session no longer exists.
@@ -53,7 +56,7 @@
     def __init__(
         self,
         engine: str,
-        may_act: Callable[[], int | None],
+        current_epoch: Callable[[], int | None],
         registry: UpstreamRegistry,
         api: EngineApi,
         permits: LoadPermits,
@@ -65,7 +68,7 @@
     ) -> None:
         self.engine = engine
         self._on_view_change = on_view_change
-        self._may_act = may_act
+        self._current_epoch = current_epoch
         self._registry = registry
         self._api = api
         self._config = config
@@ -81,7 +84,7 @@
         self._no_loads_before_ms = 0
         self._changed_ms = 0
         self._send_limit = EngineSendLimit(engine, clock)
-        self._loader = AdapterLoader(engine, may_act, registry, api, permits, clock, metrics)
+        self._loader = AdapterLoader(engine, current_epoch, registry, api, permits, clock, metrics)
 
     async def run(self) -> None:
         """Take over the engine, then refresh its state and process the queue until cancelled."""
@@ -165,9 +168,9 @@
             self._process_queue()
 
     def note_backoff(self, report: HeardBackoff) -> None:
-        """Record that the engine asked an entry gateway for backoff.
+        """Record that the engine asked an entry gateway to back off.
 
-        The others prefer other engines meanwhile.
+        The published view then makes other gateways prefer other engines.
         """
         if report.instance == f"{self.engine}/{self._incarnation}":
             self._send_limit.note_backoff(report)
@@ -195,7 +198,7 @@
         now_ms = self._clock.now_ms()
         self._on_view_change()
         self._queue.drop_answered()
-        if self._may_act() is None:
+        if self._current_epoch() is None:
             self._queue.refuse_all("owner_changed", 0)
             return
         if not self._registry.takes_work(self.engine):
--- a/chestnutfall/ownership/engine_owners.py
+++ b/chestnutfall/ownership/engine_owners.py
@@ -64,9 +64,13 @@
                 del self._owners[engine]
                 self._close(engine, owner)
         for engine in self._agent.owners:
-            may_act = self._agent.ownership_epoch(engine)
-            if may_act is not None and engine not in self._owners and engine not in self._closing:
-                self._begin(engine, may_act)
+            owned_epoch = self._agent.ownership_epoch(engine)
+            if (
+                owned_epoch is not None
+                and engine not in self._owners
+                and engine not in self._closing
+            ):
+                self._begin(engine, owned_epoch)
 
     def _begin(self, engine: str, epoch: int) -> None:
         def current_epoch() -> int | None:
--- a/chestnutfall/ownership/engine_send_limit.py
+++ b/chestnutfall/ownership/engine_send_limit.py
@@ -21,7 +21,7 @@
         self._engine = engine
         self._clock = clock
         self._limit = UpstreamLimit()
-        self._return_times = RetrySchedule()
+        self._retry_schedule = RetrySchedule()
         self._backoff_until_ms = 0
 
     def note_limit(self, report: HeardLimit) -> bool:
@@ -29,7 +29,7 @@
         return self._limit.apply_report(report, self._clock.now_ms())
 
     def note_backoff(self, report: HeardBackoff) -> None:
-        """Record that the engine asked an entry gateway for backoff."""
+        """Record that the engine asked an entry gateway to back off."""
         left_ms = LEAVING_BACKOFF_MS if report.left_ms is None else report.left_ms
         self._backoff_until_ms = max(self._backoff_until_ms, self._clock.now_ms() + left_ms)
 
@@ -58,5 +58,5 @@
         if per_s is None or (wait_ms <= req.wait_ms and not is_full):
             return None
         now_ms = self._clock.now_ms()
-        retry_ms = self._return_times.wait_ms(self._engine, wait_ms, 1000 / per_s, now_ms)
+        retry_ms = self._retry_schedule.wait_ms(self._engine, wait_ms, 1000 / per_s, now_ms)
         return TicketRefusal(req.attempt_id, LIMITED, retry_ms)
--- a/chestnutfall/ownership/messages.py
+++ b/chestnutfall/ownership/messages.py
@@ -84,7 +84,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineLimit:
-    """The limit that an answer of `engine` announced."""
+    """The limit that an answer of `engine` announced.
+
+    Attributes
+    ----------
+    heard : HeardLimit
+        Report of the limit by the entry gateway that received the answer.
+    """
 
     engine: str
     heard: HeardLimit
@@ -92,7 +98,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineBackoff:
-    """The backoff that an answer of `engine` asked of an entry gateway."""
+    """The backoff that an answer of `engine` asked of an entry gateway.
+
+    Attributes
+    ----------
+    heard : HeardBackoff
+        Report of the backoff by the entry gateway that received the answer.
+    """
 
     engine: str
     heard: HeardBackoff
--- a/chestnutfall/placement/active_backoffs.py
+++ b/chestnutfall/placement/active_backoffs.py
@@ -11,7 +11,7 @@
 class ActiveBackoffs:
     """Backoffs of the engines that asked some or all gateways to send nothing for a while.
 
-    There are nearly always none, and then each method returns without a lookup.
+    Usually no engine backs off, and then each method returns without a lookup.
     """
 
     def __init__(self, engines: Iterable[Engine], now_ms: int) -> None:
@@ -31,7 +31,7 @@
         return backoff is None or not backoff.wait_ms(req.gateway, self._now_ms)
 
     def probably_rejects(self, engine: Engine) -> bool:
-        """Whether the engine would probably refuse a request of any gateway."""
+        """Whether the engine would probably reject a request of any gateway."""
         if not self._active:
             return False
         backoff = self._active.get(engine.instance)
--- a/chestnutfall/placement/copy_speed.py
+++ b/chestnutfall/placement/copy_speed.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 WEIGHT = 0.08
+"""Weight of each load in the moving share."""
 MIN_FAST_SHARE = 0.2
 """Smallest share of fast loads, over about the last dozen, at which copies count as fast. Twenty
 slow loads in a row fall below it. Chance does not: not where every third copy is gone, nor while
--- a/chestnutfall/placement/engine_selector.py
+++ b/chestnutfall/placement/engine_selector.py
@@ -24,22 +24,22 @@
 OTHER_DATA_CENTRE_COST_MS = 4.0
 """Round trip to another data centre, and the price of its traffic."""
 AVOIDED_COST_MS = 5_000.0
-"""Makes an engine that failed this request before, or would probably refuse it, the last choice,
+"""Makes an engine that failed this request before, or would probably reject it, the last choice,
 but keeps it possible."""
 STORE_COST_MS = 400.0
 """Cost of a load from the weight store beyond its time, as the store's bandwidth is shared and paid
 for. A request may wait this much longer for an engine that has a copy of the adapter."""
 RELOAD_HORIZON_S = 3.0
 """An evicted adapter is charged for the loads that it is expected to need within this time."""
-RELAY_TIMEOUT_MS = 20.0
+RELAY_DELAY_MS = 20.0
 """From a grant at the leader to the engine, and from there to the caller, on a busy gateway."""
 WAIT_MARGIN_MS = 40.0
 """Time reserved for placing a request elsewhere after it waited in vain for an engine with a copy.
 The slot elsewhere may be taken by then, but another becomes idle within this time."""
 GOOD_ENOUGH_MS = 60.0
-"""An engine that holds the adapter at this cost or less is taken without a look at loads elsewhere:
-a load takes 25 ms at least. Most requests find such an engine, which saves four fifths of the time
-of a choice."""
+"""An engine that holds the adapter at this cost or less is taken without considering a load
+elsewhere, which takes 25 ms at least. Most requests find such an engine, which saves four fifths of
+the time of a choice."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +104,7 @@
         self._load_options: dict[str, _LoadOption] | None = None
         self._available: set[AdapterName] | None = None
         schedules = [one.prefill for one in self._engines]
-        self._first_ms = RELAY_TIMEOUT_MS + min((one.first_ms for one in schedules), default=0.0)
+        self._first_ms = RELAY_DELAY_MS + min((one.first_ms for one in schedules), default=0.0)
         self._ms_per_token = min((one.ms_per_token for one in schedules), default=0.0)
         loads = (one.load_time.expected_ms(from_copy=False) for one in self._engines)
         self._load_ms = min(loads, default=0.0)
--- a/chestnutfall/placement/placer.py
+++ b/chestnutfall/placement/placer.py
@@ -1,4 +1,4 @@
-"""The queue of requests before all engines, and the loads of their adapters."""
+"""Queues requests for all engines, and decides the loads of their adapters."""
 
 from __future__ import annotations
 
--- a/chestnutfall/placement/refusals.py
+++ b/chestnutfall/placement/refusals.py
@@ -11,7 +11,7 @@
 from .service_round import ServiceRound
 from .waiting_request import WaitingRequest
 
-LEAST_RETRY_MS = 250
+MIN_RETRY_MS = 250
 """About one load; nothing has changed for a request that returns sooner."""
 MAX_RETRY_MS = 4_000
 """Usual deadlines are as long; a request that returns later is a new one."""
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, clock: Clock) -> None:
-        self._return_times = RetrySchedule()
+        self._retry_schedule = RetrySchedule()
         self._spread = RetrySpread(clock)
 
     def refuse_expired(self, req: PlaceRequest, service_round: ServiceRound, now_ms: int) -> Reject:
@@ -60,16 +60,16 @@
     ) -> Reject:
         """Refuse a request beyond the sum of all limits; no engine is free sooner."""
         free_ms = service_round.selector.next_send_ms() + service_round.kept * interval_ms
-        retry_ms = self._return_times.wait_ms(req.service, free_ms, interval_ms, now_ms)
+        retry_ms = self._retry_schedule.wait_ms(req.service, free_ms, interval_ms, now_ms)
         return _reject(req, "limited", retry_ms, MAX_WAIT_MS)
 
     def _reject_backing_off(self, req: PlaceRequest, backoff_ms: float) -> Reject:
-        """Refuse a request whose gateway all engines asked for backoff."""
+        """Refuse a request of a gateway that every engine asked to back off."""
         return Reject(req.ticket, BACKING_OFF, self._spread.wait_ms(req.service, backoff_ms))
 
 
 def _reject(
-    req: PlaceRequest, reason: str, wait_ms: int = LEAST_RETRY_MS, most_ms: int = MAX_RETRY_MS
+    req: PlaceRequest, reason: str, wait_ms: int = MIN_RETRY_MS, max_ms: int = MAX_RETRY_MS
 ) -> Reject:
-    retry_ms = min(max(wait_ms, LEAST_RETRY_MS), most_ms)
+    retry_ms = min(max(wait_ms, MIN_RETRY_MS), max_ms)
     return Reject(req.ticket, reason, retry_ms)
--- a/chestnutfall/placement/run_outcome.py
+++ b/chestnutfall/placement/run_outcome.py
@@ -6,7 +6,7 @@
 
 
 class RunOutcome(Enum):
-    """The closed set of outcomes."""
+    """How a placed request ended, as the gateway that sent it reports to the leader."""
 
     DONE = "done"
     """Answered."""
@@ -15,7 +15,7 @@
     FULL = "full"
     """The engine refused it: no room."""
     TURNED_AWAY = "turned_away"
-    """The engine refused it, and asked its gateway for backoff."""
+    """The engine refused it, and asked the gateway to back off."""
     ABSENT = "absent"
     """The engine refused it: it does not hold the adapter, or not that version."""
     REPLACED = "replaced"
--- a/chestnutfall/routing/dispatcher.py
+++ b/chestnutfall/routing/dispatcher.py
@@ -34,6 +34,7 @@
 MAX_ATTEMPTS = 4
 MAX_RESUMES = 3
 BACKOFF_MS = 50
+"""Base of the delay before a retry, which doubles with each attempt, and before a resume."""
 _PROPAGATOR = TraceContextTextMapPropagator()
 
 
--- a/chestnutfall/routing/engine_choice.py
+++ b/chestnutfall/routing/engine_choice.py
@@ -12,10 +12,12 @@
 LOAD_COST = 1.5
 """Cost of loading an adapter, in full batches queued ahead."""
 DISTANCE_COST = 0.1
+"""Cost of an engine in another data centre, in full batches queued ahead."""
 WAIT_COST_PER_S = 1.0
 """Cost of one second's wait at an engine with a rate limit, in full batches queued ahead."""
 _HASH_RANGE = float(1 << 64)
 HASH_COST = 0.5
+"""Most that the hash adds to the cost of a load, in full batches queued ahead."""
 
 
 def engine_candidates(
--- a/chestnutfall/routing/tickets.py
+++ b/chestnutfall/routing/tickets.py
@@ -14,6 +14,7 @@
 from .engine_choice import engine_candidates
 
 OWNER_WAIT_MS = 5000
+"""How long a request waits for an engine to get an owner."""
 OWNER_POLL_MS = 100
 RETRY_AFTER_MS = 1000
 _OWNER_CODES = frozenset(
--- a/chestnutfall/tests/test_candidate_engines.py
+++ b/chestnutfall/tests/test_candidate_engines.py
@@ -1,7 +1,7 @@
 """Placement with far more engines than one decision round can consider.
 
 A request for an adapter that only one of a thousand engines holds must go to that engine, and the
-leader must find it without a look at the others.
+leader must find it without evaluating the others.
 """
 
 from __future__ import annotations
--- a/chestnutfall/tests/test_forwarder.py
+++ b/chestnutfall/tests/test_forwarder.py
@@ -102,9 +102,9 @@
                 self.assertEqual(len(self.upstreams.sends), sends)
 
     async def test_the_last_upstream_of_a_service_is_waited_for_and_not_asked_twice(self) -> None:
-        # Three of four plain upstreams are gone, and the last one has a queue. A lookup that gives
+        # Three of four plain upstreams are gone, and the last one has a queue. A call that gives
         # up on it after a quarter of a second has cost it work, starts again at the end of the
-        # queue, and is late or lost. A lookup that it refuses as full would be refused again a
+        # queue, and is late or lost. A call that it refuses as full would be refused again a
         # moment later.
         await self._serve(RouteKind.IDEMPOTENT, ((b"answer",),))
         patient_ms = self.upstreams.sends[0].silent_ms
--- a/chestnutfall/tests/test_last_check.py
+++ b/chestnutfall/tests/test_last_check.py
@@ -102,7 +102,7 @@
                 self.assertEqual(self.reply.status, 502)
 
     async def test_a_call_that_one_upstream_turns_away_goes_to_another(self) -> None:
-        self.has_other = False  # judging by the loads
+        self.has_other = False  # by the loads that upstreams reported
         upstreams = await self._serve(
             RouteKind.NON_IDEMPOTENT, (answer_with_signals(ASKS_BACKOFF), WHOLE)
         )
--- a/chestnutfall/tests/test_repeats.py
+++ b/chestnutfall/tests/test_repeats.py
@@ -117,8 +117,8 @@
                 self.assertLessEqual(got, (1 - POOL_SHARE) * 430 / gateways)
 
     async def test_without_a_leader_two_hundred_gateways_have_their_share_together(self) -> None:
-        # After a power loss on all hosts, drafts arrive before their adapters are loaded. If shares
-        # below one repeat were rounded down, no gateway could send a draft again.
+        # After a power loss on all hosts, calls arrive before their adapters are loaded. If shares
+        # below one repeat were rounded down, no gateway could send a call again.
         for gateways in (9, 200, 410):
             with self.subTest(gateways=gateways):
                 fleet = _Fleet(gateways, RepeatBounds(0.0, 430, 10_000))
--- a/chestnutfall/tests/test_upstream_selectors.py
+++ b/chestnutfall/tests/test_upstream_selectors.py
@@ -1,7 +1,7 @@
 """Selection of engines without a leader, and selection among plain upstreams.
 
-Guards against two failures: a lookup waits behind a hung upstream, or a draft is refused during an
-election although an engine holds its adapter.
+Guards against two failures: a call to a plain service waits behind a hung upstream, or a call is
+refused during an election although an engine holds its adapter.
 """
 
 from __future__ import annotations
--- a/properties/safeguards/caller_mutants.py
+++ b/properties/safeguards/caller_mutants.py
@@ -36,8 +36,12 @@
     Mutant(
         "order sent without a look at the lease",
         _LOADER,
-        "        epoch = self._may_act()\n        address = self._address()\n        if epoch",
-        "        epoch = self._may_act() or 1\n        address = self._address()\n        if epoch",
+        "        epoch = self._current_epoch()\n"
+        "        address = self._address()\n"
+        "        if epoch",
+        "        epoch = self._current_epoch() or 1\n"
+        "        address = self._address()\n"
+        "        if epoch",
         _OWNERSHIP_TEST,
     ),
     Mutant(
