--- a/chestnutfall/caller_edge/control_quota_client.py
+++ b/chestnutfall/caller_edge/control_quota_client.py
@@ -15,8 +15,8 @@
 ASK_TIMEOUT_MS = 300
 """A leader answers within a few ms; a caller does not wait for an election to learn its rate."""
 REPORT_TIMEOUT_MS = 2_000
-LEVEL_REFRESH_MS = 200
-"""A gateway that asks, and whose last report is this old, sends an empty one to get levels."""
+SHORTAGE_REFRESH_MS = 200
+"""A gateway that asks the leader sends an empty report if its last report is this old."""
 
 
 class ControlQuotaClient(QuotaClient):
@@ -72,10 +72,10 @@
             raise NoQuotaLeader(str(exc)) from exc
         if not isinstance(answer, AnswerQuota):
             raise NoQuotaLeader(f"unexpected reply to a quota question: {answer}")
-        # Controllers send levels only in reply to a report. A gateway whose requests are all asked
-        # for has nothing to report, and would never learn that a caller has plenty of quota again;
-        # it sends an empty report instead.
-        if self._clock.now_ms() >= self._reported_ms + LEVEL_REFRESH_MS:
+        # Controllers list the callers that are short of quota only in reply to a report. A gateway
+        # whose requests are all asked for has nothing to report, and would never learn that a
+        # caller has plenty of quota again, so it sends an empty report.
+        if self._clock.now_ms() >= self._reported_ms + SHORTAGE_REFRESH_MS:
             self.report_use(UsedQuota(()))
         return answer
 
--- a/chestnutfall/control/caller_quotas.py
+++ b/chestnutfall/control/caller_quotas.py
@@ -53,7 +53,7 @@
     def _current_ledger(self) -> QuotaLedger:
         if self._revision != self._state.revision:
             self._revision = self._state.revision
-            self._ledger.use(self._organisations())
+            self._ledger.apply_quotas(self._organisations())
         return self._ledger
 
     def _organisations(self) -> Iterator[Organisation]:
--- a/chestnutfall/coordination/leader_term.py
+++ b/chestnutfall/coordination/leader_term.py
@@ -165,7 +165,7 @@
         # thousand routes takes milliseconds during which no request is placed.
         if held.version > known:
             self._table = RouteTable(self._codec.decode(decompress_document(held.content)))
-            self._quotas.use(self._table.document.organisations)
+            self._quotas.apply_quotas(self._table.document.organisations)
             self._upstreams.update_soon()
 
     # Gateways
--- a/chestnutfall/forwarding/plain_upstream_selector.py
+++ b/chestnutfall/forwarding/plain_upstream_selector.py
@@ -137,7 +137,7 @@
             state.health.note_lag(times.lag_ms, now_ms)
         if load is not None:
             state.other_requests = max(load.running + load.waiting - state.own_requests - 1, 0)
-            state.slots = max(load.places, 1)
+            state.slots = max(load.max_running, 1)
             state.load_reported_ms = now_ms
 
     def _state_of(self, upstream: UpstreamRecord) -> _UpstreamState:
--- a/chestnutfall/limits/known_limits.py
+++ b/chestnutfall/limits/known_limits.py
@@ -107,7 +107,7 @@
     def reports_for_new_leader(self) -> tuple[HeardLimit, ...]:
         """Reports of all known limits, for a leader that has just started its term.
 
-        Also ends the counts of `may_send_without_leader`.
+        Also drops the counts of `may_send_without_leader`.
         """
         self._leaderless.leader_found()
         now_ms = self._clock.now_ms()
--- a/chestnutfall/limits/limit_signal.py
+++ b/chestnutfall/limits/limit_signal.py
@@ -1,4 +1,4 @@
-"""What an answer says about its upstream's limit, as a closed union."""
+"""The limit that an upstream's answer declares, as a closed union."""
 
 from __future__ import annotations
 
--- a/chestnutfall/limits/messages.py
+++ b/chestnutfall/limits/messages.py
@@ -14,7 +14,7 @@
     per_s : float or None
         Requests per second; None if the upstream no longer declares a limit.
     asked_ago_ms : int
-        Time since the gateway sent the request that was answered so.
+        Time since the gateway sent the request of that answer.
     heard_ago_ms : int
         Time since the gateway received that answer.
     """
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitsInForce:
-    """The leader tells gateways which limits are new or changed, and which have ended.
+    """The leader informs gateways which limits are new or changed, and which have ended.
 
     Attributes
     ----------
--- a/chestnutfall/limits/plain_send_queues.py
+++ b/chestnutfall/limits/plain_send_queues.py
@@ -24,8 +24,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Waiting(Generic[Gateway]):
-    """A queued call.
+class _QueuedCall(Generic[Gateway]):
+    """A call that waits for a limited upstream.
 
     Attributes
     ----------
@@ -76,7 +76,7 @@
         self._serving = serving
         self._may_send = may_send
         self._clock = clock
-        self._queues: dict[str, list[_Waiting[Gateway]]] = {}
+        self._queues: dict[str, list[_QueuedCall[Gateway]]] = {}
         self._shares: dict[str, FairShare] = {}
         self._retry_schedule = RetrySchedule()
 
@@ -90,7 +90,7 @@
         queue = self._queues.setdefault(asked.service, [])
         share = self._shares.setdefault(asked.service, FairShare())
         tag = share.tag(asked.organisation, 1)
-        queue.append(_Waiting(asked, gateway, self._clock.now_ms(), tag))
+        queue.append(_QueuedCall(asked, gateway, self._clock.now_ms(), tag))
 
     def drop_gateway(self, gateway: Gateway) -> None:
         """Drop the calls of a gateway whose session ended."""
@@ -110,7 +110,7 @@
             one: self._limits.ensure(one, counts_sends=False) for one in self._serving(service)
         }
         free = {one: limit for one, limit in limits.items() if not limit.wait_ms(0, now_ms)}
-        in_order: list[_Waiting[Gateway]] = []
+        in_order: list[_QueuedCall[Gateway]] = []
         for waiting in sorted(self._queues[service], key=lambda one: one.order):
             instance = self._best(waiting, free, now_ms) if free else ""
             if not instance:
@@ -122,11 +122,13 @@
             self._shares[service].served(waiting.tag)
             yield AddressedAnswer(waiting.gateway, AnswerTurn(waiting.asked.number, instance))
         yield from self._keep_or_refuse(
-            service, in_order, _SendPace.of(limits.values(), now_ms), now_ms
+            service, in_order, _SendSchedule.of(limits.values(), now_ms), now_ms
         )
 
-    def _best(self, waiting: _Waiting[Gateway], free: dict[str, UpstreamLimit], now_ms: int) -> str:
-        """Return the upstream with the most room; one that failed this call only as a last resort.
+    def _best(
+        self, waiting: _QueuedCall[Gateway], free: dict[str, UpstreamLimit], now_ms: int
+    ) -> str:
+        """Return the upstream with most sends left; one that failed this call comes last.
 
         Empty if the gateway may send to none of them.
         """
@@ -135,39 +137,53 @@
         return max(allowed, key=lambda one: _preference(one, free[one], avoid, now_ms), default="")
 
     def _keep_or_refuse(
-        self, service: str, in_order: list[_Waiting[Gateway]], pace: _SendPace, now_ms: int
+        self,
+        service: str,
+        in_order: list[_QueuedCall[Gateway]],
+        schedule: _SendSchedule,
+        now_ms: int,
     ) -> Iterator[AddressedAnswer[Gateway]]:
         """Keep the calls that are expected to be sent in time, and yield refusals of the others."""
-        left: list[_Waiting[Gateway]] = []
+        left: list[_QueuedCall[Gateway]] = []
         for waiting in in_order:
             asked = waiting.asked
-            wait_ms = pace.first_ms + len(left) * pace.interval_ms
+            wait_ms = schedule.first_ms + len(left) * schedule.interval_ms
             has_time = now_ms + wait_ms <= waiting.since_ms + asked.wait_ms
             if has_time and len(left) < MAX_WAITING_CALLS:
                 left.append(waiting)
                 continue
             retry_ms = int(wait_ms)
             if asked.wait_ms:
-                retry_ms = self._retry_schedule.wait_ms(service, wait_ms, pace.interval_ms, now_ms)
+                retry_ms = self._retry_schedule.wait_ms(
+                    service, wait_ms, schedule.interval_ms, now_ms
+                )
             yield AddressedAnswer(waiting.gateway, AnswerTurn(asked.number, "", retry_ms))
         self._queues[service] = left
 
 
 @dataclass(frozen=True, slots=True)
-class _SendPace:
-    """Time until the next send to a service's limited upstreams, and between later sends."""
+class _SendSchedule:
+    """When a service's limited upstreams accept the next sends.
+
+    Attributes
+    ----------
+    first_ms : float
+        Time until the next send.
+    interval_ms : float
+        Mean time between later sends.
+    """
 
     first_ms: float
     interval_ms: float
 
     @staticmethod
-    def of(limits: Iterable[UpstreamLimit], now_ms: int) -> _SendPace:
-        """The pace of some upstreams together; those without a limit don't count."""
+    def of(limits: Iterable[UpstreamLimit], now_ms: int) -> _SendSchedule:
+        """The schedule of some upstreams together; those without a limit don't count."""
         limited = [limit for limit in limits if limit.per_s is not None]
         if not limited:
-            return _SendPace(NO_UPSTREAM_RETRY_MS, 0)
+            return _SendSchedule(NO_UPSTREAM_RETRY_MS, 0)
         per_s = sum(limit.per_s or 0.0 for limit in limited)
-        return _SendPace(min(limit.wait_ms(0, now_ms) for limit in limited), 1000 / per_s)
+        return _SendSchedule(min(limit.wait_ms(0, now_ms) for limit in limited), 1000 / per_s)
 
 
 def _preference(
--- a/chestnutfall/platform/header_names.py
+++ b/chestnutfall/platform/header_names.py
@@ -72,4 +72,4 @@
     STAMP,
     WEIGHT_VERSIONS,
 )
-"""Headers of answers that the gateway reads, and the two that are meant for clients only."""
+"""Headers of answers that the gateway reads; the last two are meant for clients only."""
--- a/chestnutfall/quota/fair_share.py
+++ b/chestnutfall/quota/fair_share.py
@@ -1,4 +1,4 @@
-"""The order of requests when organisations ask for more than there is."""
+"""Fair order of the requests of organisations that together exceed the capacity."""
 
 from __future__ import annotations
 
--- a/chestnutfall/quota/leaderless_share.py
+++ b/chestnutfall/quota/leaderless_share.py
@@ -13,9 +13,9 @@
 LEADERLESS_FRACTION = 0.5
 """Fraction of the spare units that all gateways together may use without a leader."""
 BURST_S = 0.5
-"""Callers arrive unevenly, so a gateway may be this far ahead of its earlier pace."""
-KEEP_PACE_MS = 3_000
-"""How long a gateway keeps its earlier pace; longer than an election with one failed attempt. A
+"""Callers arrive unevenly, so a gateway may be this far ahead of its earlier rate."""
+KEEP_RATE_MS = 3_000
+"""How long a gateway keeps its earlier rate; longer than an election with one failed attempt. A
 gateway that is cut off for longer can't know whether a leader grants the same units to others."""
 ISOLATED_PER_S = 0.0
 """Rate of a gateway that no controller answers; others may be granted the whole quota meanwhile."""
@@ -24,7 +24,7 @@
 class LeaderlessShare:
     """One organisation's share of its quota at this gateway while there is no leader.
 
-    For `KEEP_PACE_MS` the gateway keeps the pace of the last window: what all gateways admitted
+    For `KEEP_RATE_MS` the gateway keeps the rate of the last window: what all gateways admitted
     then was within the quota, and callers seldom move to another gateway. After that it has an
     equal share of the quota if controllers answer that there is no leader, and nothing if none of
     them answers: then it is cut off, and a leader may grant the whole quota to the others. In
@@ -71,7 +71,7 @@
         if lost_ms != self._lost_ms:
             self._begin(quota, gateways, lost_ms, was_short, now_ms)
         bucket = self._bucket
-        if now_ms >= lost_ms + KEEP_PACE_MS:
+        if now_ms >= lost_ms + KEEP_RATE_MS:
             per_s = ISOLATED_PER_S if is_isolated else quota.per_s / max(gateways, 1)
             bucket.resize(per_s, bucket.size, now_ms)
         # With two hundred gateways each one's share is less than one request. Rounding it down
@@ -84,10 +84,10 @@
     def _begin(
         self, quota: Quota, gateways: int, lost_ms: int, was_short: bool, now_ms: int
     ) -> None:
-        # The pace is that of the time with a leader. Otherwise it would include the spare units
+        # The rate is that of the time with a leader. Otherwise it would include the spare units
         # admitted since, and grow.
         self._lost_ms = lost_ms
-        pace_per_s = self._history.per_s(now_ms)
+        earlier_per_s = self._history.per_s(now_ms)
         own = LEADERLESS_FRACTION * self._bounds.spare(quota) / max(gateways, 1)
-        size = own + BURST_S * pace_per_s
-        self._bucket = TokenBucket(pace_per_s, size, 0.0 if was_short else size, lost_ms)
+        size = own + BURST_S * earlier_per_s
+        self._bucket = TokenBucket(earlier_per_s, size, 0.0 if was_short else size, lost_ms)
--- a/chestnutfall/quota/messages.py
+++ b/chestnutfall/quota/messages.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WasShort:
-    """A gateway tells a new leader which organisations were short under the previous one."""
+    """A gateway reports to a new leader which organisations were short under the previous one."""
 
     organisations: tuple[str, ...]
 
@@ -63,6 +63,8 @@
 
     Attributes
     ----------
+    name : str
+        Name of the organisation.
     per_s : float
         Units per second that the quota allows.
     left : float
@@ -79,12 +81,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaNews:
-    """The leader tells gateways for which organisations they must ask before each request.
+    """The leader informs gateways for which organisations they must ask before each request.
 
     Attributes
     ----------
     whole : bool
-        Whether `short` replaces all earlier news.
+        Whether `short` is the complete list; otherwise it and `plenty` are changes.
     short : tuple of str
         Organisations whose requests must be asked for.
     plenty : tuple of str
--- a/chestnutfall/quota/quota_enforcer.py
+++ b/chestnutfall/quota/quota_enforcer.py
@@ -42,7 +42,7 @@
     """
 
     def __init__(self, retry_after_ms: int, is_used_up: bool) -> None:
-        super().__init__(f"over the quota, come back in {retry_after_ms} ms")
+        super().__init__(f"over the quota, retry in {retry_after_ms} ms")
         self.retry_after_ms = retry_after_ms
         self.is_used_up = is_used_up
 
--- a/chestnutfall/quota/quota_ledger.py
+++ b/chestnutfall/quota/quota_ledger.py
@@ -43,7 +43,7 @@
         self._emptied: set[str] = set()
         self._started_ms = clock.now_ms()
 
-    def use(self, organisations: Iterable[Organisation]) -> None:
+    def apply_quotas(self, organisations: Iterable[Organisation]) -> None:
         """Apply the quotas that are in force now; organisations without a limit are not counted."""
         limited = {one.name: one for one in organisations if one.quota.limited}
         for name in self._buckets.keys() - limited.keys():
@@ -51,9 +51,9 @@
             self._short.discard(name)
             self._retry_schedule.forget(name)
         for name, organisation in limited.items():
-            self._use_one(name, organisation)
+            self._apply_quota(name, organisation)
 
-    def _use_one(self, name: str, organisation: Organisation) -> None:
+    def _apply_quota(self, name: str, organisation: Organisation) -> None:
         now_ms = self._clock.now_ms()
         per_s, size = organisation.quota.per_s, organisation.quota.burst
         bucket = self._buckets.get(name)
--- a/chestnutfall/quota/retry_schedule.py
+++ b/chestnutfall/quota/retry_schedule.py
@@ -9,7 +9,7 @@
 class RetrySchedule:
     """Gives each refused request a retry time of its own.
 
-    If all refused callers were told the same time, they would all retry at once, and most of them
+    If all refused callers got the same time, they would all retry at once, and most of them
     would be refused again.
     """
 
--- a/chestnutfall/settings/quota_bounds.py
+++ b/chestnutfall/settings/quota_bounds.py
@@ -30,7 +30,7 @@
     def spare(self, quota: Quota) -> float:
         """Return the units that may pass beyond the quota in one window.
 
-        They cover what gateways let through before the keeper of the quotas can know of it.
+        They cover what gateways admit before the leader, which counts the use, can know of it.
         """
         in_window = quota.per_s * self.window_ms / 1000 + quota.burst
         return in_window * self.excess_ratio + self.slack
--- a/chestnutfall/signals/__init__.py
+++ b/chestnutfall/signals/__init__.py
@@ -1,7 +1,7 @@
-"""Signals that upstreams send in their answers, and which upstreams may be sent work by them.
+"""Signals in the answers of upstreams, and the sends that they forbid.
 
 An answer can declare a limit on requests per second, ask for a backoff, say that the upstream is
-leaving, and tell its load.
+leaving, and report its load.
 """
 
 from __future__ import annotations
--- a/chestnutfall/signals/backoff_signal.py
+++ b/chestnutfall/signals/backoff_signal.py
@@ -1,4 +1,4 @@
-"""What an answer says about a backoff, as a closed union."""
+"""The backoff that an upstream's answer asks for, as a closed union."""
 
 from __future__ import annotations
 
--- a/chestnutfall/signals/known_signals.py
+++ b/chestnutfall/signals/known_signals.py
@@ -51,9 +51,9 @@
         """Return whether a request may be sent now; checked last before each send.
 
         The upstream was chosen earlier, by this gateway or another process, and since then an
-        answer to another request may have asked for a backoff. Without this check a place that
-        was granted before, a wait for an adapter, a repeat or a resumed run reaches an upstream
-        that has just asked for no requests.
+        answer to another request may have asked for a backoff. Without this check, requests that
+        were placed earlier, waited for an adapter, are repeated or are resumed would reach an
+        upstream that has just asked for no requests.
         """
         return not self.backoffs.left_ms(instance)
 
@@ -80,7 +80,7 @@
         return least_ms if found else 0.0
 
     def caller_retry_ms(self, service: str, held_back_ms: float) -> int:
-        """Time after which a caller should retry that no upstream of a service accepts.
+        """Time after which a caller should retry when no upstream of a service accepts requests.
 
         Differs between callers, so that they don't all retry at once.
 
--- a/chestnutfall/signals/read_signals.py
+++ b/chestnutfall/signals/read_signals.py
@@ -1,4 +1,4 @@
-"""Reading an upstream's signals from the head of an answer, in every dialect."""
+"""Reading an upstream's signals from the headers of an answer, in every dialect."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     leaving : str
         Says that the upstream is leaving.
     load : str
-        Tells its running and waiting requests and its places.
+        Reports an `UpstreamLoad`, as `RUNNING,WAITING,MAX_RUNNING`.
     """
 
     limit: str
--- a/chestnutfall/signals/retry_spread.py
+++ b/chestnutfall/signals/retry_spread.py
@@ -11,12 +11,12 @@
 """The successors of leaving upstreams announce themselves within about this time."""
 MAX_RETRY_MS = 60_000
 """Longer backoffs are cut to this, since other upstreams may serve by then."""
-_GOLDEN = (math.sqrt(5) - 1) / 2
+_GOLDEN_RATIO = (math.sqrt(5) - 1) / 2
 
 
 @dataclass(slots=True)
 class _Series:
-    """Refusals of one service without a pause.
+    """Refusals of one service while its upstreams accept no requests.
 
     Attributes
     ----------
@@ -36,24 +36,24 @@
 class RetrySpread:
     """Gives each refused caller a retry time of its own, after the end of the backoff.
 
-    If all refused callers were told the end itself, they would all retry at once. Spread over
-    about as long as they arrived, they retry at the rate at which they came. No caller is told
-    more than twice the time that is left, however often callers retry before.
+    If all refused callers got the end itself, they would all retry at once. Spread over about as
+    long as they arrived, they retry at the rate at which they came. No caller gets more than twice
+    the time that is left, however often callers retry before.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._series: dict[str, _Series] = {}
 
-    def wait_ms(self, service: str, back_ms: float) -> int:
+    def wait_ms(self, service: str, held_back_ms: float) -> int:
         """Count a refusal, and return the time after which the caller should retry.
 
         Parameters
         ----------
-        back_ms : float
+        held_back_ms : float
             Time until the first upstream accepts requests; infinite if all are leaving.
         """
-        free_ms = LEAVING_RETRY_MS if math.isinf(back_ms) else min(back_ms, MAX_RETRY_MS)
+        free_ms = LEAVING_RETRY_MS if math.isinf(held_back_ms) else min(held_back_ms, MAX_RETRY_MS)
         now_ms = self._clock.now_ms()
         series = self._series.get(service)
         if series is None or series.until_ms < now_ms:
@@ -62,4 +62,4 @@
         series.count += 1
         spread_ms = min(now_ms - series.began_ms, free_ms)
         # Multiples of the golden ratio, modulo 1, spread evenly for any number of refusals.
-        return math.ceil(free_ms + spread_ms * (series.count * _GOLDEN % 1))
+        return math.ceil(free_ms + spread_ms * (series.count * _GOLDEN_RATIO % 1))
--- a/chestnutfall/signals/upstream_backoff.py
+++ b/chestnutfall/signals/upstream_backoff.py
@@ -111,7 +111,7 @@
             self._sent += 1
 
     def served(self, ticket: str) -> None:
-        """Note a success of the request `ticket`; if it was the probe, all gateways may send again.
+        """Record a success of the request `ticket`; after that of the probe all gateways may send.
 
         Gateways with a backoff of their own still wait for its end.
         """
--- a/chestnutfall/signals/upstream_signals.py
+++ b/chestnutfall/signals/upstream_signals.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamSignals:
-    """What one answer says about the upstream that gave it.
+    """The signals of one answer about the upstream that sent it.
 
     Attributes
     ----------
@@ -22,7 +22,7 @@
     leaving : bool
         Whether it is about to end and accepts no new work.
     load : UpstreamLoad or None
-        Its load, if the answer tells it.
+        Its load; None if the answer does not report it.
     """
 
     limit: LimitSignal = field(default_factory=UndeclaredLimit)
--- a/chestnutfall/tests/fakes/limit_office.py
+++ b/chestnutfall/tests/fakes/limit_office.py
@@ -15,17 +15,17 @@
 
 HEAD_MS = 20
 RUN_MS = 60
-PLACES = 6
+MAX_RUNNING = 6
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A call that found no place.
+    """A call that got no placement.
 
     Attributes
     ----------
     waited_ms : int
-        Time from the request for a place to the refusal.
+        Time from the request for a placement to the refusal.
     retry_after_ms : int
         Time after which the caller is told to retry.
     """
@@ -37,14 +37,14 @@
 
 
 class LimitOffice(PlacingOffice):
-    """Gateways that take places and send to simulated upstreams.
+    """Gateways that request placements and send to simulated upstreams.
 
     Attributes
     ----------
     refused : list of Refused
-        Calls that found no place.
+        Calls that got no placement.
     served : Counter of str
-        Calls by organisation that found a place.
+        Number of placed calls by organisation.
     fail_fraction : float
         Fraction of runs that break; their calls are sent once more.
     head_ms : int
@@ -81,7 +81,7 @@
         upstream.arrivals.append((sent_ms, gateway.name))
         upstream.running += 1
         await self.clock.sleep_ms(self.head_ms)
-        load = UpstreamLoad(upstream.running, 0, PLACES)
+        load = UpstreamLoad(upstream.running, 0, MAX_RUNNING)
         fails = self.rng.random() < self.fail_fraction
         signals = upstream.signals(500 if fails else 200)
         gateway.signals.observe(place.upstream.instance, signals, sent_ms, succeeded=not fails)
--- a/chestnutfall/tests/fakes/quota_office.py
+++ b/chestnutfall/tests/fakes/quota_office.py
@@ -88,7 +88,7 @@
     def begin_leader(self) -> None:
         """Start a new leader, which knows nothing of what its predecessor counted."""
         self.ledger = QuotaLedger(self.bounds, self.clock)
-        self.ledger.use([self.organisation])
+        self.ledger.apply_quotas([self.organisation])
         for at, client in enumerate(self.clients):
             if not client.cut:
                 self.ledger.note_short(self.enforcers[at].shortage_report().organisations)
@@ -103,7 +103,7 @@
         """Put another quota of the organisation in force."""
         self.organisation = organisation
         if self.ledger is not None:
-            self.ledger.use([organisation])
+            self.ledger.apply_quotas([organisation])
 
     def cut(self, gateway: int, noticed: bool = True) -> None:
         """Cut a gateway off from every controller; `noticed` is whether it knows that at once."""
--- a/chestnutfall/tests/test_backoff_parts.py
+++ b/chestnutfall/tests/test_backoff_parts.py
@@ -42,7 +42,7 @@
     def _pass_ms(self, ms: int) -> None:
         self.clock._now_ms += ms
 
-    def test_it_holds_until_its_end_and_no_longer(self) -> None:
+    def test_a_backoff_holds_until_its_end_and_no_longer(self) -> None:
         self.known.observe("i", _asks(300))
         self.assertFalse(self.signals.may_send("i"))
         self.assertTrue(self.signals.may_send("j"))
@@ -53,7 +53,7 @@
 
     # Guards against a shorter backoff replacing a longer one, as answers arrive in any order.
     @given(st.lists(st.tuples(st.integers(0, 500), st.integers(0, 2_000)), max_size=20))
-    def test_the_last_end_of_all_times_holds(self, steps: list[tuple[int, int]]) -> None:
+    def test_the_latest_end_of_several_backoffs_holds(self, steps: list[tuple[int, int]]) -> None:
         clock = ManualClock()
         signals = known_signals(clock)
         last_ms = 0
@@ -106,7 +106,7 @@
         self.assertFalse(self.signals.may_send(f"i{MAX_BACKOFFS + 499}"))
         self.assertFalse(self.known.probably_rejects("h0"))
 
-    def test_the_time_until_the_first_of_several_takes_work(self) -> None:
+    def test_the_time_until_the_first_of_several_accepts_requests(self) -> None:
         self.known.observe("i", _asks(700))
         self.known.observe("j", LEAVING)
         self.assertEqual(self.signals.held_back_ms(["i", "j"]), 700)
@@ -115,7 +115,7 @@
         self.assertEqual(self.signals.held_back_ms([]), 0)
 
     # Guards against all gateways avoiding an upstream that asked only one for a backoff.
-    def test_a_success_ends_what_others_were_asked_but_not_what_this_one_was(self) -> None:
+    def test_a_success_ends_a_hint_but_not_this_gateway_s_own_backoff(self) -> None:
         self.known.apply_hints(BackoffHints((HeardBackoff("i", 500), HeardBackoff("j", None))))
         self.known.observe("k", _asks(500))
         self.assertTrue(self.known.probably_rejects("i"))
@@ -131,7 +131,7 @@
     def setUp(self) -> None:
         self.backoff = UpstreamBackoff()
 
-    def test_who_was_asked_waits_and_others_try_now_and_then(self) -> None:
+    def test_the_gateway_that_was_asked_waits_and_others_send_probes(self) -> None:
         self.assertTrue(self.backoff.update("g1", 2_000, 1_000))
         self.assertEqual(self.backoff.wait_ms("g1", 1_400), 600)
         self.assertEqual(self.backoff.wait_ms("g2", 1_000), PROBE_MS)
@@ -140,7 +140,7 @@
         self.assertEqual(self.backoff.wait_ms("g3", 1_000 + PROBE_MS), PROBE_MS)
 
     # Guards against all gateways avoiding an upstream that rejected only one.
-    def test_a_try_that_is_served_frees_the_others(self) -> None:
+    def test_a_served_probe_ends_the_wait_of_the_others(self) -> None:
         self.backoff.update("g1", 9_000, 1_000)
         self.backoff.note_sent("g2/1", 1_400)
         self.backoff.served("g3/7")
@@ -151,7 +151,7 @@
         self.assertEqual(self.backoff.wait_ms("g1", 1_500), 7_500)
 
     # Guards against the calls of all gateways arriving at once when the backoff ends.
-    def test_what_it_may_be_sent_doubles_when_its_time_is_over(self) -> None:
+    def test_the_allowed_sends_double_after_a_backoff(self) -> None:
         self.backoff.update("g1", 2_000, 1_000)
         sent = []
         for now_ms in range(2_000, 2_000 + RAMP_MS * RAMP_STEPS):
@@ -164,7 +164,7 @@
             self.assertGreater(within, 2 ** (step - 1) - 1)
         self.assertEqual(self.backoff.wait_ms("g2", 2_000 + RAMP_MS * RAMP_STEPS), 0)
 
-    def test_one_that_leaves_is_never_free_again(self) -> None:
+    def test_a_leaving_upstream_accepts_no_request_again(self) -> None:
         self.backoff.update("g1", math.inf, 1_000)
         self.backoff.note_sent("g2/1", 1_400)
         self.backoff.served("g2/1")
@@ -181,7 +181,7 @@
         self.backoff.forget_gateway("g2")
         self.assertEqual(self.backoff.wait_ms("g2", 1_000 + PROBE_MS), 0)
 
-    def test_one_that_asked_for_nothing_is_free(self) -> None:
+    def test_without_a_backoff_no_request_waits(self) -> None:
         self.assertEqual(self.backoff.wait_ms("g", 0), 0)
         self.assertEqual(self.backoff.unavailable_ms("g", 0), 0)
 
@@ -204,7 +204,7 @@
     def _received(self, session: GatewaySession) -> list[object]:
         return [session.out.get_nowait() for _ in range(session.out.qsize())]
 
-    def test_all_are_told_at_once_and_then_ten_times_a_second(self) -> None:
+    def test_hints_are_sent_at_once_and_then_ten_times_a_second(self) -> None:
         self.coordinator.record_backoff(self.reporting, HeardBackoff("p", 3_000))
         self.coordinator.send_due()
         self.assertEqual(self._received(self.other), [BackoffHints((HeardBackoff("p", 3_000),))])
@@ -216,7 +216,7 @@
         self.coordinator.send_due()
         self.assertEqual(len(self._received(self.other)), 1)
 
-    def test_one_that_joins_is_told_what_holds(self) -> None:
+    def test_a_new_session_receives_the_active_hints(self) -> None:
         self.coordinator.record_backoff(self.reporting, HeardBackoff("p", 3_000))
         self.coordinator.record_backoff(self.reporting, HeardBackoff("q", None))
         self.clock._now_ms += 1_000
@@ -236,13 +236,13 @@
         self.assertEqual(len(getattr(msg, "hints", ())), MAX_HINTS)
 
     # Guards against memory that grows with every incarnation that left.
-    def test_upstreams_that_are_gone_are_forgotten_but_for_the_last(self) -> None:
+    def test_absent_upstreams_are_dropped_except_the_newest(self) -> None:
         for number in range(MAX_ABSENT_UPSTREAMS + 500):
             self.coordinator.record_backoff(self.reporting, HeardBackoff(f"p{number}", None))
         self.coordinator.set_serving([UpstreamRecord("p0", "s", "1:1", "dc")])
         self.assertEqual(len(list(self.registry.active_hints())), MAX_ABSENT_UPSTREAMS + 1)
 
-    def test_a_gateway_that_is_gone_is_forgotten(self) -> None:
+    def test_backoffs_of_an_ended_session_are_dropped(self) -> None:
         self.coordinator.record_backoff(self.reporting, HeardBackoff("p", 3_000))
         self.clock._now_ms += PROBE_MS
         self.assertFalse(self.registry.may_send("g1", "p"))
@@ -256,7 +256,7 @@
         self.spread = RetrySpread(self.clock)
 
     # Guards against callers that all retry at the moment at which the backoff ends.
-    def test_they_come_back_as_they_came_and_not_before(self) -> None:
+    def test_retry_times_are_spread_after_the_end_of_a_backoff(self) -> None:
         back_ms = []
         for _ in range(200):
             left_ms = 3_000 - (self.clock.now_ms() - 1_000)
@@ -267,12 +267,12 @@
         densest = max(sum(at <= one < at + 100 for one in back_ms) for at in range(4_000, 5_500))
         self.assertLess(densest, 0.25 * len(back_ms))
 
-    def test_nobody_is_told_more_than_twice_what_is_left(self) -> None:
+    def test_no_retry_time_is_more_than_twice_the_time_left(self) -> None:
         for _ in range(5_000):
             self.assertLessEqual(self.spread.wait_ms("s", 800), 1_600)
             self.clock._now_ms += 1
 
-    def test_a_day_and_upstreams_that_leave_have_a_time_as_well(self) -> None:
+    def test_a_day_and_leaving_upstreams_have_a_retry_time_as_well(self) -> None:
         self.assertEqual(self.spread.wait_ms("s", 86_400_000), MAX_RETRY_MS)
         self.assertEqual(self.spread.wait_ms("t", math.inf), LEAVING_RETRY_MS)
 
--- a/chestnutfall/tests/test_backoff_together.py
+++ b/chestnutfall/tests/test_backoff_together.py
@@ -44,7 +44,7 @@
             self.assertGreaterEqual(office.served(service, from_ms), least)
 
     # Guards against gateways, whatever their number, that ignore a backoff.
-    async def test_any_number_of_gateways_leaves_one_in_peace_and_callers_lose_nothing(
+    async def test_any_number_of_gateways_respects_a_backoff_and_callers_lose_nothing(
         self,
     ) -> None:
         for gateways in (1, 9, 91, 195, 410):
@@ -57,7 +57,7 @@
                 asked = len(office.of(ENGINES, from_ms)) + len(office.of(PLAIN, from_ms))
                 self.assertLessEqual(self._rejected(office), MAX_REJECTED_FRACTION * asked)
 
-    async def test_several_of_a_service_ask_for_time(self) -> None:
+    async def test_several_upstreams_of_a_service_ask_for_backoff(self) -> None:
         office = self._office(9, engines=5, plain=5)
         await office.play(500, RATES)
         names = [f"{service}-{at}" for service in RATES for at in range(3)]
@@ -66,7 +66,7 @@
         self._check(office, from_ms)
 
     # Guards against callers that wait until their deadline, or all retry at one moment.
-    async def test_where_all_ask_for_time_callers_are_told_at_once_when_to_come_back(self) -> None:
+    async def test_when_all_upstreams_back_off_callers_get_a_retry_time_at_once(self) -> None:
         office = self._office(9)
         await office.play(500, RATES)
         from_ms = self._ask(office, "3")
@@ -84,7 +84,7 @@
             together = Counter(at_ms // 100 for at_ms in back_ms).most_common(1)[0][1]
             self.assertLess(together, 0.35 * len(refused))
 
-    async def test_work_comes_back_as_soon_as_the_time_is_over(self) -> None:
+    async def test_requests_are_sent_again_as_soon_as_the_backoff_is_over(self) -> None:
         office = self._office(9)
         await office.play(2_000, RATES)
         from_ms = self._ask(office, "2")
@@ -101,7 +101,7 @@
             self.assertGreaterEqual(after, 0.5 * before)
 
     # Guards against all gateways sending to an upstream at the moment its backoff ends.
-    async def test_the_end_of_the_time_is_tried_before_all_come_back(self) -> None:
+    async def test_sends_ramp_up_after_the_end_of_a_backoff(self) -> None:
         office = self._office(91, engines=2)
         await office.play(500, {ENGINES: 200.0})
         self._ask(office, "1", f"{ENGINES}-0")
@@ -112,7 +112,7 @@
         self.assertLessEqual(max(moments.values(), default=0), 8)
 
     # Guards against malformed or zero backoffs that hold calls back.
-    async def test_what_is_no_time_holds_nobody_back(self) -> None:
+    async def test_a_malformed_or_zero_backoff_delays_no_call(self) -> None:
         for text in ("0", "soon", "-3", "nan", ""):
             with self.subTest(text):
                 office = self._office(1, engines=1, plain=1)
@@ -142,7 +142,7 @@
                 )
 
     # Guards against taking rejections without a proof that nothing ran for failures.
-    async def test_refusals_without_proof_ask_for_time_as_well(self) -> None:
+    async def test_refusals_without_proof_ask_for_backoff_as_well(self) -> None:
         office = self._office(3)
         await office.play(500, RATES)
         for one in (f"{ENGINES}-0", f"{PLAIN}-0"):
@@ -151,7 +151,7 @@
         await office.play(3_000, RATES)
         self._check(office, from_ms)
 
-    async def test_429_asks_for_time_as_503_does(self) -> None:
+    async def test_429_asks_for_backoff_as_503_does(self) -> None:
         office = self._office(3)
         await office.play(500, RATES)
         for one in (f"{ENGINES}-0", f"{PLAIN}-0"):
@@ -192,7 +192,7 @@
         self.assertNotIn("repeats_over_budget", office.metrics.text())
 
     # Guards against refusing a call because its first choices asked for backoffs one by one.
-    async def test_one_call_meets_several_that_ask_for_time(self) -> None:
+    async def test_one_call_meets_several_upstreams_that_ask_for_backoff(self) -> None:
         office = self._office(1, engines=5, plain=5)
         names = [f"{service}-{at}" for service in RATES for at in range(4)]
         self._ask(office, "60", *names)
@@ -202,7 +202,7 @@
         self.assertEqual([one.status for one in office.finished], [200] * 4)
         self.assertEqual(office.violations(), [])
 
-    # Guards against using a place that was granted before its upstream asked for a backoff.
+    # Guards against using a placement that was granted before its upstream asked for a backoff.
     async def test_calls_that_wait_for_a_load_are_placed_anew(self) -> None:
         office = self._office(2, engines=2)
         office.adapters = [f"b{at}" for at in range(20)]
@@ -213,7 +213,7 @@
         self.assertGreaterEqual(office.served(ENGINES, from_ms), 0.95)
 
     # Guards against holding back callers of an adapter whose only holder asked for a backoff.
-    async def test_adapters_of_one_that_asks_for_time_are_loaded_elsewhere_at_once(self) -> None:
+    async def test_adapters_of_an_engine_that_backs_off_are_loaded_elsewhere_at_once(self) -> None:
         office = self._office(3, engines=2)
         for name, upstream in office.upstreams.items():
             upstream.holds = {} if name == f"{ENGINES}-1" else dict(upstream.holds)
@@ -229,7 +229,7 @@
         self.assertLess(max(one.took_ms for one in found), 500)
 
     # Guards against a shorter backoff replacing a longer one, as answers arrive in any order.
-    async def test_of_several_times_asked_for_the_last_end_holds(self) -> None:
+    async def test_the_latest_end_of_several_backoffs_holds(self) -> None:
         office = self._office(1, engines=2, plain=2)
         await office.play(200, RATES)
         names = (f"{ENGINES}-0", f"{PLAIN}-0")
@@ -242,7 +242,7 @@
         self._check(office, office.clock.now_ms() - 3_000)
 
     # Guards against a new leader that does not know the backoffs that its predecessor knew.
-    async def test_leaders_that_change_meanwhile(self) -> None:
+    async def test_leaders_that_change_during_a_backoff(self) -> None:
         for changes in (1, 4):
             with self.subTest(changes=changes):
                 office = self._office(9)
@@ -256,7 +256,7 @@
                 self._check(office, from_ms)
 
     # Guards against a gateway that ignores backoffs while it has no leader.
-    async def test_without_a_leader_each_gateway_keeps_to_it(self) -> None:
+    async def test_without_a_leader_each_gateway_respects_a_backoff(self) -> None:
         office = self._office(3)
         await office.play(500, RATES)
         office.lose_leader()
@@ -270,7 +270,7 @@
         self.assertEqual({one.reason for one in late if one.status != 200}, {"backing_off"})
         self.assertLess(max(one.took_ms for one in late if one.status != 200), AT_ONCE_MS)
 
-    async def test_gateways_that_are_cut_off_keep_to_it(self) -> None:
+    async def test_gateways_that_are_cut_off_respect_a_backoff(self) -> None:
         office = self._office(4)
         await office.play(500, RATES)
         office.cut("g0")
@@ -279,7 +279,7 @@
         self._check(office, from_ms)
 
     # Guards against a restarted gateway that sends more than one request during a backoff.
-    async def test_gateways_that_restart_find_out_by_one_request(self) -> None:
+    async def test_gateways_that_restart_learn_of_a_backoff_by_one_request(self) -> None:
         office = self._office(4)
         await office.play(500, RATES)
         from_ms = self._ask(office, "4", f"{ENGINES}-0", f"{PLAIN}-0")
@@ -295,8 +295,8 @@
             by = Counter(asked.gateway for asked in upstream.backoff_requests)
             self.assertLessEqual(max(by.values(), default=0), 4)
 
-    # Guards against a frozen gateway that later uses places that were granted long ago.
-    async def test_a_gateway_that_was_frozen_keeps_to_it_with_places_in_hand(self) -> None:
+    # Guards against a frozen gateway that later uses placements that were granted long ago.
+    async def test_a_gateway_that_was_frozen_does_not_use_old_grants_in_a_backoff(self) -> None:
         office = self._office(2)
         await office.play(500, RATES)
         office.gateways["g0"].frozen = True
@@ -307,7 +307,7 @@
         self.assertEqual(office.violations(), [])
 
     # Guards against applying an upstream's signals to its successor at the same address.
-    async def test_a_successor_at_the_same_address_does_not_inherit_it(self) -> None:
+    async def test_a_successor_at_the_same_address_does_not_inherit_a_backoff(self) -> None:
         office = self._office(3, engines=2, plain=2)
         await office.play(500, RATES)
         self._ask(office, "60", f"{ENGINES}-0", f"{PLAIN}-0")
@@ -320,7 +320,7 @@
             self.assertGreater(len(arrivals), 20)
 
     # Guards against losing one kind of signal when another arrives.
-    async def test_beside_limits(self) -> None:
+    async def test_backoffs_and_limits_at_the_same_time(self) -> None:
         office = self._office(9)
         await office.play(500, RATES)
         for service in RATES:
@@ -349,7 +349,7 @@
         self.assertEqual(office.violations(), [])
 
     # Guards against a leader that grants sends to an upstream which asked that gateway to wait.
-    async def test_turns_at_limited_upstreams_skip_who_was_asked_for_time(self) -> None:
+    async def test_grants_at_limited_upstreams_skip_gateways_asked_for_backoff(self) -> None:
         office = self._office(2, plain=2)
         await office.play(300, {PLAIN: 30.0})
         for at in range(2):
--- a/chestnutfall/tests/test_fair_share.py
+++ b/chestnutfall/tests/test_fair_share.py
@@ -1,7 +1,7 @@
 """Fair shares when one organisation sends many times its usual number of requests.
 
 The load has eight organisations with equal rates, one of which sends fifteen times as much. In
-order of arrival nearly every place would go to it, and the others would wait behind its requests.
+order of arrival it would get nearly all capacity, and the others would wait behind its requests.
 """
 
 from __future__ import annotations
--- a/chestnutfall/tests/test_limit_parts.py
+++ b/chestnutfall/tests/test_limit_parts.py
@@ -42,7 +42,7 @@
         self.latest = LatestLimit()
 
     # Guards against a delayed answer, produced before the limit was declared, that removes it.
-    def test_of_answers_that_crossed_the_lower_limit_holds(self) -> None:
+    def test_the_lower_limit_of_overlapping_exchanges_holds(self) -> None:
         self.assertTrue(self.latest.update(7.0, 100, 120))
         self.assertFalse(self.latest.update(None, 90, 130))
         self.assertFalse(self.latest.update(9.0, 110, 131))
@@ -56,7 +56,7 @@
         self.assertIsNone(self.latest.per_s)
 
     # Guards against a gateway that reconnects and reports an ended limit to a new leader.
-    def test_what_was_heard_before_the_newest_request_was_sent_says_nothing(self) -> None:
+    def test_an_answer_received_before_the_newest_request_was_sent_is_ignored(self) -> None:
         self.latest.update(None, 200, 220)
         self.assertFalse(self.latest.update(3.0, 150, 190))
         self.assertIsNone(self.latest.per_s)
@@ -81,7 +81,7 @@
             self.assertLessEqual(sent, allowed + 1 + most * BURST_MS / 1000)
 
     @given(st.integers(0, 100), st.floats(0.5, 30))
-    def test_a_new_limit_holds_back_for_what_it_just_got_but_not_for_long(
+    def test_a_new_limit_counts_recent_sends_but_not_for_long(
         self, sent: int, per_s: float
     ) -> None:
         limit = UpstreamLimit()
@@ -91,7 +91,7 @@
         self.assertGreater(limit.wait_ms(0, 1_000), 0)
         self.assertLessEqual(limit.wait_ms(0, 1_000), RECENT_MS + 1_000 / per_s + 1)
 
-    def test_a_lower_limit_holds_back_for_what_the_higher_one_let_through(self) -> None:
+    def test_a_lower_limit_counts_the_sends_under_the_higher_one(self) -> None:
         limit = UpstreamLimit()
         limit.update(30.0, 0, 0, 0)
         for now_ms in range(10_000, 11_000, 50):
@@ -100,7 +100,7 @@
         limit.update(10.0, 11_000, 11_000, 11_000)
         self.assertGreater(limit.wait_ms(0, 11_000), RECENT_MS)
 
-    def test_what_takes_nothing_is_asked_now_and_then(self) -> None:
+    def test_an_upstream_with_a_limit_of_zero_still_gets_some_requests(self) -> None:
         limit = UpstreamLimit()
         limit.update(0.0, 0, 0, 0)
         self.assertEqual(limit.declared_per_s, 0.0)
@@ -114,7 +114,7 @@
         self.assertLessEqual(len(window), RECENT_MS // 10 + 1)
         self.assertEqual(window.count(99_990), RECENT_MS // 10)
 
-    def test_without_a_limit_nobody_waits(self) -> None:
+    def test_without_a_limit_no_request_waits(self) -> None:
         limit = UpstreamLimit()
         self.assertEqual(limit.wait_ms(1_000, 0), 0)
         limit.update(3.0, 0, 0, 0)
@@ -127,7 +127,7 @@
         self.registry = LimitRegistry(ManualClock())
 
     # Guards against a controller that keeps every upstream that ever declared a limit.
-    def test_upstreams_that_are_gone_are_forgotten_but_for_the_last(self) -> None:
+    def test_absent_upstreams_are_dropped_except_the_newest(self) -> None:
         for at in range(2 * MAX_ABSENT_UPSTREAMS):
             self.registry.update(HeardLimit(f"i{at}", 3.0, 0), counts_sends=True)
             self.registry.ensure(f"free{at}")
@@ -180,7 +180,7 @@
         refused = [one.answer for one in answers if not one.answer.instance]
         self.assertLessEqual(max(one.retry_after_ms for one in refused), 200)
 
-    def test_a_gateway_that_is_gone_takes_no_turn(self) -> None:
+    def test_calls_of_an_ended_session_are_dropped(self) -> None:
         for number in range(10):
             self._ask(number)
         self.queues.drop_gateway("g0")
@@ -195,7 +195,7 @@
         self.assertEqual(answers[0].retry_after_ms, NO_UPSTREAM_RETRY_MS)
 
     # Guards against refusing a call for a limit that ended after the gateway asked for a send.
-    def test_a_limit_that_has_just_ended_holds_nobody_up(self) -> None:
+    def test_a_limit_that_has_just_ended_delays_no_call(self) -> None:
         for instance in self.serving:
             self.registry.update(HeardLimit(instance, None, 0), counts_sends=False)
         self._ask(1)
@@ -228,7 +228,7 @@
                 self.limits.observe("i", UnreadableLimit("many"), 60_000, succeeded=True)
         self.assertEqual(len(logs.output), 1)
 
-    def test_what_the_leader_tells_holds(self) -> None:
+    def test_limits_from_the_leader_are_applied(self) -> None:
         self.limits.apply(LimitsInForce((RequestLimit("i", 3.0), RequestLimit("j", 0.5))))
         self.assertEqual((self.limits.per_s("i"), self.limits.per_s("j")), (3.0, 0.5))
         self.limits.apply(LimitsInForce((), ("i",)))
--- a/chestnutfall/tests/test_limited_placement.py
+++ b/chestnutfall/tests/test_limited_placement.py
@@ -46,7 +46,7 @@
         self.assertGreaterEqual(len(self.rejected), 35)
         self.assertEqual({one.reason for one in self.rejected.values()}, {"limited"})
 
-    # Guards against refused callers that all return at the same moment, or before there is room.
+    # Guards against refused callers that all retry at the same moment, or too early.
     def test_each_refused_request_gets_its_own_retry_time(self) -> None:
         self._engine("e1", "a1")
         self._limit("e1", 5.0)
--- a/chestnutfall/tests/test_limits_together.py
+++ b/chestnutfall/tests/test_limits_together.py
@@ -139,7 +139,7 @@
             self.assertGreaterEqual(late, 10)
 
     # Guards against a header that is no number and removes a limit, or fails a gateway.
-    async def test_what_is_no_number_neither_begins_nor_ends_a_limit(self) -> None:
+    async def test_an_unreadable_limit_neither_begins_nor_ends_a_limit(self) -> None:
         for text in ("none", "", "-3", "nan", "inf", "7,1", "1e999"):
             with self.subTest(text):
                 office = LimitOffice(3)
@@ -155,7 +155,7 @@
                     late = sum(at_ms >= office.clock.now_ms() - 3_000 for at_ms, _ in free)
                     self.assertGreaterEqual(late, 45)
 
-    # Guards against repeats and resumed calls that pass beside a limit.
+    # Guards against repeats and resumed calls that are not counted against a limit.
     async def test_calls_that_are_sent_once_more_count_as_any_other(self) -> None:
         office = LimitOffice(9)
         office.fail_fraction = 0.5
--- a/chestnutfall/tests/test_named_limits.py
+++ b/chestnutfall/tests/test_named_limits.py
@@ -19,7 +19,7 @@
 
 class NamedLimitTest(unittest.TestCase):
     # Guards against upstreams that declare a limit and receive as many requests as before.
-    def test_upstreams_get_what_they_say_they_take(self) -> None:
+    def test_upstreams_receive_up_to_their_declared_limit(self) -> None:
         self.play = OfficeScenario(seed=4, callers=CLIENTS)
         asyncio.run(self.play.run(self._script))
         for upstream in self.play.engine_and_plain():
--- a/chestnutfall/tests/test_named_signals.py
+++ b/chestnutfall/tests/test_named_signals.py
@@ -18,7 +18,7 @@
 
 class NamedSignalTest(unittest.TestCase):
     # Guards against a gateway that ignores a backoff and sends the next request at once.
-    def test_one_that_asks_for_time_gets_it_and_callers_lose_nothing(self) -> None:
+    def test_an_upstream_that_asks_for_backoff_gets_it_and_callers_lose_nothing(self) -> None:
         play = OfficeScenario(seed=5)
 
         async def script(play: OfficeScenario) -> None:
@@ -31,7 +31,7 @@
         self.assertGreaterEqual(play.success_ratio(self.began_s), MIN_SERVED)
 
     # Guards against callers that retry too soon while all upstreams ask for a backoff.
-    def test_where_all_ask_for_time_callers_are_told_when_to_come_back(self) -> None:
+    def test_when_all_upstreams_back_off_callers_get_a_retry_time(self) -> None:
         play = OfficeScenario(seed=6)
 
         async def script(play: OfficeScenario) -> None:
@@ -52,7 +52,7 @@
         )
 
     # Guards against gateways that send new work to an upstream that said that it is leaving.
-    def test_one_that_says_that_it_leaves_gets_nothing_more_and_callers_lose_nothing(self) -> None:
+    def test_a_leaving_upstream_gets_no_more_requests_and_callers_lose_nothing(self) -> None:
         play = OfficeScenario(seed=7)
 
         async def script(play: OfficeScenario) -> None:
--- a/chestnutfall/tests/test_organisations.py
+++ b/chestnutfall/tests/test_organisations.py
@@ -222,7 +222,7 @@
         await self._serve(_document(LIMITED), "key-of-permits")
         self.assertIn(self.reply.status, (200, 503))
 
-    async def test_public_routes_and_offices_without_organisations_need_no_key(self) -> None:
+    async def test_public_routes_and_documents_without_organisations_need_no_key(self) -> None:
         for content in (_document(PERMITS, public=True), _document()):
             for key in (None, "unknown"):
                 self.reply = RecordedReply()
@@ -238,7 +238,7 @@
         await self._serve(_document(PERMITS, BOOKINGS), "key-of-bookings")
         self.assertEqual(self.upstreams.sends[0].rank, 3)
 
-    async def test_over_the_quota_is_refused_with_the_time_to_come_back(self) -> None:
+    async def test_a_call_over_the_quota_is_refused_with_a_retry_time(self) -> None:
         self.quotas.apply(QuotaNews(True, ("permits",)))
         self.quota_client.answer = AnswerQuota(0, False, 730)
         await self._serve(_document(LIMITED), "key-of-permits")
--- a/chestnutfall/tests/test_platform.py
+++ b/chestnutfall/tests/test_platform.py
@@ -168,8 +168,8 @@
         self.assertEqual(self.counts, {"unread_header_server_wish": 1})
 
     async def test_a_request_whose_connection_breaks_is_sent_once(self) -> None:
-        # An upstream runs a request twice, and a household gets two permits. The connection breaks
-        # after the first run, and the HTTP client repeats the request, as its method allows that.
+        # Guards against a request that runs twice: its connection breaks after the first run, and
+        # the HTTP client repeats it because its method is idempotent.
         self.aborts = True
         for self.method in ("GET", "PUT", "DELETE", "POST"):
             with self.subTest(self.method):
@@ -184,7 +184,8 @@
             await self._send()
 
     async def test_a_success_that_names_no_request_is_lost(self) -> None:
-        # A caller gets the whole answer to another request, since nothing in it names the request.
+        # Guards against a caller that gets the whole answer to another request, which can't be
+        # noticed when the answer names no request.
         self.named = False
         with self.assertRaises(AnswerLost):
             await self._send()
--- a/chestnutfall/tests/test_quotas.py
+++ b/chestnutfall/tests/test_quotas.py
@@ -92,13 +92,13 @@
             sent, passed = await self._send(office, 0.8 * PER_S, 1, range(start, start + 20))
             self.assertGreaterEqual(passed, 0.99 * sent)
 
-    async def test_one_client_gets_all_of_its_office(self) -> None:
+    async def test_one_gateway_can_use_the_whole_quota(self) -> None:
         office = QuotaOffice(81, OFFICE, BOUNDS)
         office.wait(2_000)
         sent, passed = await self._send(office, 0.8 * PER_S, 10, range(1))
         self.assertGreaterEqual(passed, 0.99 * sent)
 
-    async def test_twelve_times_the_usual_keeps_the_bound_and_gets_what_it_may(self) -> None:
+    async def test_a_large_overload_keeps_the_bound_and_uses_the_quota(self) -> None:
         for gateways in (1, 9, 81, 410):
             with self.subTest(gateways):
                 office = QuotaOffice(gateways, OFFICE, BOUNDS)
@@ -154,7 +154,7 @@
 
     async def test_a_new_leader_begins_with_nothing_for_those_that_were_short(self) -> None:
         ledger = QuotaLedger(BOUNDS, QuotaOffice(1, OFFICE, BOUNDS).clock)
-        ledger.use([OFFICE, replace(OFFICE, name="other")])
+        ledger.apply_quotas([OFFICE, replace(OFFICE, name="other")])
         ledger.note_short(["office", "unknown"])
         self.assertFalse(ledger.ask(0, "office", DRAFT).admitted)
         self.assertTrue(ledger.ask(0, "other", DRAFT).admitted)
@@ -175,9 +175,9 @@
             office.wait(500)
         self.assertGreaterEqual(passed, 6)
 
-    async def test_those_refused_come_back_one_after_the_other(self) -> None:
+    async def test_refused_requests_get_different_retry_times(self) -> None:
         ledger = QuotaLedger(STRICT_QUOTA_BOUNDS, QuotaOffice(1, OFFICE, STRICT_QUOTA_BOUNDS).clock)
-        ledger.use([OFFICE])
+        ledger.apply_quotas([OFFICE])
         waits_ms = [ledger.ask(0, "office", 2_900).retry_after_ms for _ in range(20)]
         self.assertEqual(len(set(waits_ms)), 20)
         self.assertLess(max(waits_ms), 2_100)
@@ -229,7 +229,7 @@
                 await self._send(office, 6.7 * PER_S, 20, range(81))
                 self.assertLessEqual(office.most_in_window(), office.bound())
 
-    async def test_a_gateway_that_stood_still_passes_no_more_than_its_share(self) -> None:
+    async def test_a_gateway_that_was_frozen_admits_no_more_than_its_share(self) -> None:
         office = QuotaOffice(9, OFFICE, BOUNDS)
         office.wait(2_000)
         await self._send(office, 6.7 * PER_S, 8, range(1, 9))
--- a/chestnutfall/tests/test_signals.py
+++ b/chestnutfall/tests/test_signals.py
@@ -27,7 +27,7 @@
 
 
 class ReadBackoffTest(unittest.TestCase):
-    def test_seconds_with_decimals_and_moments_are_times(self) -> None:
+    def test_seconds_with_decimals_and_http_dates_are_read(self) -> None:
         cases = (
             ("3", 3_000),
             ("0", 0),
@@ -40,7 +40,7 @@
             with self.subTest(text):
                 self.assertEqual(read_backoff(503, text, DATE), AskedBackoff(ms))
 
-    def test_429_says_the_same_as_503_and_other_answers_say_nothing(self) -> None:
+    def test_429_asks_for_backoff_as_503_does_and_other_statuses_do_not(self) -> None:
         self.assertEqual(read_backoff(429, "1", None), AskedBackoff(1_000))
         for status in (200, 301, 421, 500):
             with self.subTest(status):
@@ -53,7 +53,7 @@
                 self.assertEqual(read_backoff(503, text, DATE), UnreadableBackoff(text))
 
     # Guards against reading an HTTP date by the gateway's own clock, which may be adjusted.
-    def test_a_moment_without_the_answer_s_own_date_is_unreadable(self) -> None:
+    def test_an_http_date_without_the_answer_s_own_date_is_unreadable(self) -> None:
         self.assertEqual(
             read_backoff(503, DATE, None), UnreadableBackoff(DATE[:MAX_UNREADABLE_CHARS])
         )
@@ -77,7 +77,7 @@
 
 
 class ReadSignalsTest(unittest.TestCase):
-    def test_all_that_an_answer_says(self) -> None:
+    def test_all_signals_of_an_answer_are_read(self) -> None:
         headers = {"x-limit": "7.5", "Retry-After": "2", "x-leaving": "1", "x-load": "3,1,8"}
         found = read_signals(503, headers, NAMES)
         self.assertEqual(found.limit, DeclaredLimit(7.5))
@@ -85,10 +85,10 @@
         self.assertTrue(found.leaving)
         self.assertEqual(found.load, UpstreamLoad(3, 1, 8))
 
-    def test_an_answer_that_says_nothing(self) -> None:
+    def test_an_answer_without_signals(self) -> None:
         self.assertEqual(read_signals(200, {}, NAMES), NO_SIGNALS)
 
-    def test_only_the_one_value_says_that_an_upstream_leaves(self) -> None:
+    def test_only_the_value_1_says_that_an_upstream_is_leaving(self) -> None:
         for text in ("0", "", "true", "11", "no"):
             with self.subTest(text):
                 self.assertFalse(read_signals(200, {"x-leaving": text}, NAMES).leaving)
@@ -107,7 +107,7 @@
         self.unread = UnreadHeaders(("X-Known",), lambda name: self.counts.update([name]))
 
     # Guards against a new signal header of upstreams that the gateway ignores unnoticed.
-    def test_a_header_that_nobody_reads_is_counted_and_logged_once_without_its_value(self) -> None:
+    def test_an_unknown_header_is_counted_and_logged_once_without_its_value(self) -> None:
         with self.assertLogs(level="WARNING") as logs:
             for _ in range(3):
                 self.unread.note("drafts", {"X-New-Word": "secret", "x-known": "1", "Date": "-"})
--- a/chestnutfall/tests/test_upstream_selectors.py
+++ b/chestnutfall/tests/test_upstream_selectors.py
@@ -168,7 +168,7 @@
 
     async def test_a_load_that_others_made_counts(self) -> None:
         first = await self._take()
-        reported = UpstreamLoad(running=5, waiting=3, places=6)
+        reported = UpstreamLoad(running=5, waiting=3, max_running=6)
         self.selector.release(first, RunOutcome.DONE, NO_TIMES, reported)
         self.assertNotEqual((await self._take()).upstream.instance, first.upstream.instance)
 
--- a/properties/safeguards/quota_mutants.py
+++ b/properties/safeguards/quota_mutants.py
@@ -40,7 +40,7 @@
     Mutant(
         "cut off for long, a gateway goes on at its old pace",
         "chestnutfall/quota/leaderless_share.py",
-        "        if now_ms >= lost_ms + KEEP_PACE_MS:",
+        "        if now_ms >= lost_ms + KEEP_RATE_MS:",
         "        if False:",
         _QUOTAS_TEST,
     ),
