--- a/chestnutfall/control/crash_ledger.py
+++ b/chestnutfall/control/crash_ledger.py
@@ -79,10 +79,11 @@
         self.changes += 1
         end = self.ends[instance] = end.with_requests(suspects, overlapping)
         _drop_oldest(self.ends, MAX_ENDS)
-        # Requests that were in flight when a quarantine began, or that arrive after it ended, may
-        # end one more upstream. If the requests that ran together with them were blamed for it,
-        # these would approach a quarantine of their own. And if each new quarantine needed three
-        # ends again, the request would take three more upstreams each time.
+        # An offender, a request that was quarantined before, may end one more upstream if it was in
+        # flight when its quarantine began or arrives after that quarantine ended. If the other
+        # requests that ran there were blamed too, they would approach a quarantine of their own;
+        # and if an offender needed three ends for each new quarantine, it would take three more
+        # upstreams each time.
         ran = (*end.suspects, *end.overlapping)
         offenders = [one for one in ran if one in self.offences]
         for fingerprint in offenders or self._to_quarantine(end):
@@ -133,8 +134,9 @@
         ends = Counter(one for end in self.ends.values() for one in end.suspects if one in wanted)
         most = max(ends.values(), default=0)
         blamed = [one for one in end.suspects if ends[one] == most]
-        # A tie stays undecided: an innocent request may have been resumed together with the cause
-        # from engine to engine, and only one of the two will be part of the next end.
+        # Below `ENDS_TO_QUARANTINE_TIED` ends, tied requests are not quarantined: an innocent one
+        # may have been resumed together with the cause from engine to engine, and the next end may
+        # include only the cause.
         sure = most >= ENDS_TO_QUARANTINE and len(blamed) == 1
         return blamed if sure or most >= ENDS_TO_QUARANTINE_TIED else []
 
--- a/chestnutfall/control/crash_monitor.py
+++ b/chestnutfall/control/crash_monitor.py
@@ -26,7 +26,7 @@
 long."""
 MAX_BROKEN_UPSTREAMS = 1_024
 """Enough for the upstreams of several data centres; each entry takes some KB for ten seconds."""
-END_RETENTION_MS = 3_600_000
+UPSTREAM_END_RETENTION_MS = 3_600_000
 """A request that causes an end less than once an hour can't be told from coincidence."""
 MAX_LAST_ENDS = 8_192
 """Requests that were running when upstreams ended recently; about 150 bytes each."""
@@ -165,7 +165,9 @@
 
     async def _commit_expiry(self) -> None:
         crashes = self._state.crashes
-        ends = self._older_than(self._ends_seen_ms, crashes.ends, lambda _: END_RETENTION_MS)
+        ends = self._older_than(
+            self._ends_seen_ms, crashes.ends, lambda _: UPSTREAM_END_RETENTION_MS
+        )
         quarantines = self._older_than(
             self._quarantines_seen_ms, crashes.quarantined, crashes.quarantine_ms
         )
--- a/chestnutfall/control/upstream_roster.py
+++ b/chestnutfall/control/upstream_roster.py
@@ -61,7 +61,8 @@
         """Whether this incarnation left, or a later start of the same upstream is known."""
         if record.instance in self.tombstones:
             return True
-        # A listed incarnation has no later start: that one would have replaced it.
+        # While this incarnation is listed, no later start of the upstream is known: `add` removes
+        # the earlier incarnations when it adds a later one.
         return record.instance not in self.records and any(
             one.started_ms > record.started_ms for one in self._incarnations(record.announced_name)
         )
--- a/chestnutfall/coordination/upstream_tracker.py
+++ b/chestnutfall/coordination/upstream_tracker.py
@@ -143,8 +143,9 @@
     def _departing_instance(self, msg: Depart) -> str:
         """Return the incarnation that a departure refers to."""
         newest = self._state.roster.newest_incarnation(msg.name)
-        # Without a start time, the departure refers to the latest start: an engine whose departure
-        # was acknowledged must not get new work, whatever arrives late.
+        # A departure without a start time is taken to mean the latest known incarnation, which then
+        # gets a tombstone. An engine whose departure was acknowledged must not get new work, even
+        # if an announcement that it sent before arrives late.
         if msg.started_ms or newest is None:
             return incarnation_key(msg.name, msg.started_ms)
         return newest.instance
--- a/chestnutfall/coordination/upstream_views.py
+++ b/chestnutfall/coordination/upstream_views.py
@@ -30,7 +30,7 @@
 
 
 def part_records(part: UpstreamsPart) -> tuple[UpstreamRecord, ...]:
-    """Return the records of a part."""
+    """Decompress and decode the records in one part of the list of serving upstreams."""
     return _DECODER.decode(decompress_document(part.content))
 
 
--- a/chestnutfall/forwarding/admission.py
+++ b/chestnutfall/forwarding/admission.py
@@ -110,6 +110,6 @@
         return Admitted(organisation, charge)
 
     def refund(self, admitted: Admitted) -> None:
-        """Return the charged units of a call that never ran to its quota."""
+        """Give the units charged for a call that never ran back to its organisation's quota."""
         if admitted.organisation is not None and admitted.charge is not None:
             self._quotas.give_back(admitted.charge, admitted.organisation.quota)
--- a/chestnutfall/forwarding/sender.py
+++ b/chestnutfall/forwarding/sender.py
@@ -91,7 +91,7 @@
 
 
 class _Sending:
-    """State of one send in progress."""
+    """State of one send of a call to one upstream; `Progress` holds that of the whole call."""
 
     def __init__(
         self, clock: Clock, progress: Progress, route: Route, place: Place, reply: CallerReply
--- a/chestnutfall/ownership/adapter_loader.py
+++ b/chestnutfall/ownership/adapter_loader.py
@@ -102,9 +102,10 @@
         address = self._address()
         if address is None or victim.pins:
             return False
-        # A gateway that is gone may still have a run that no ticket shows any more, and an eviction
-        # would break off its answer. So the engine's own fresh report decides. After the wait that
-        # follows a take-over, no request can still be on its way to the engine.
+        # The engine may still run a request of a gateway that is gone, without a ticket known here,
+        # and an eviction would break off its answer. So the engine's own fresh report decides. It
+        # misses no request on its way on a ticket of an earlier owner: after a change of owner,
+        # `Slot.is_evictable` is false for `MAX_DISPATCH_DELAY_MS`.
         state = await self._api.state(address, STATE_TIMEOUT_MS)
         if victim.adapter in state.running.values() or victim.pins:
             victim.inherited_until_ms = self._clock.now_ms() + IN_USE_PAUSE_MS
--- a/chestnutfall/ownership/engine_owner.py
+++ b/chestnutfall/ownership/engine_owner.py
@@ -205,9 +205,10 @@
             self._queue.refuse_all("engine_leaving", 0)
             return
         for waiting in self._queue.by_urgency(now_ms, self._config().policy.aging_ms):
-            self._decide(waiting, now_ms)
+            self._grant_refuse_or_load(waiting, now_ms)
 
-    def _decide(self, waiting: TicketWaiter, now_ms: int) -> None:
+    def _grant_refuse_or_load(self, waiting: TicketWaiter, now_ms: int) -> None:
+        """Grant the ticket, refuse the request or start a load for it, or let it wait on."""
         adapter = waiting.req.adapter
         if waiting.is_expired(now_ms):
             waiting.refuse("no_capacity_in_time", RETRY_MS)
--- a/chestnutfall/signals/upstream_backoff.py
+++ b/chestnutfall/signals/upstream_backoff.py
@@ -98,7 +98,9 @@
         since_ms = now_ms - self._probably_rejects_until_ms
         if since_ms >= RAMP_MS * RAMP_STEPS:
             return 0.0
-        # After log2(n + 1) doublings, n + 1 sends are allowed.
+        # One send is allowed at the end of the backoff, and the allowed number doubles every
+        # `RAMP_MS`. It reaches `_sent + 1`, which allows the next send, after log2(_sent + 1)
+        # doublings.
         due_ms = RAMP_MS * math.log2(self._sent + 1)
         return max(due_ms - since_ms, 0.0)
 
--- a/chestnutfall/tests/test_load_time_estimate.py
+++ b/chestnutfall/tests/test_load_time_estimate.py
@@ -67,7 +67,7 @@
         store.play(3_000)
         self.assertLess(store.estimates[0].expected_ms(from_copy=False), 265)
 
-    def test_a_store_that_was_busy_is_forgotten_soon_after(self) -> None:
+    def test_slow_loads_from_a_busy_store_are_forgotten_within_seconds(self) -> None:
         # Many loads at once take twice as long. Seconds later the estimate is back to normal.
         store = _Store(31)
         store.load_ms = 500.0
--- a/chestnutfall/tests/test_quotas.py
+++ b/chestnutfall/tests/test_quotas.py
@@ -233,7 +233,8 @@
         office = QuotaOffice(9, OFFICE, BOUNDS)
         office.wait(2_000)
         await self._send(office, 6.7 * PER_S, 8, range(1, 9))
-        # It knows of no shortage, and all requests that callers sent meanwhile arrive at once.
+        # Gateway 0 was frozen until now. It knows of no shortage, and all requests that callers
+        # sent to it while it was frozen arrive at once.
         office.enforcers[0].apply(QuotaNews(True, ()))
         for _ in range(60):
             await office.request(0, DRAFT)
--- a/chestnutfall/tests/test_repeats.py
+++ b/chestnutfall/tests/test_repeats.py
@@ -104,9 +104,7 @@
         fleet = _Fleet(2, RepeatBounds(0.0, 40, 10_000))
         self.assertEqual([await fleet.repeats_of(at, 50) for at in (0, 1)], [7, 7])
 
-    async def test_upstreams_that_are_too_few_get_no_more_repeats_than_each_gateway_s_share(
-        self,
-    ) -> None:
+    async def test_with_full_upstreams_a_gateway_gets_at_most_its_share_of_repeats(self) -> None:
         # One of four plain upstreams is gone and the others are full. Each refused request that is
         # sent again takes capacity from another request, which is refused in turn.
         for gateways in (9, 200):
