--- a/properties/test_control_state.py
+++ b/properties/test_control_state.py
@@ -185,7 +185,7 @@
     ) -> None:
         state = ControlState()
         holder: str | None = None
-        expires_ms = 0
+        forget_ms = 0
         now_ms = 0
         for kind, attempt, ms in steps:
             match kind:
@@ -194,7 +194,7 @@
                     taken = isinstance(_apply(state, take), ClaimTaken)
                     self.assertEqual(taken, holder in (None, attempt))
                     if holder is None:
-                        holder, expires_ms = attempt, now_ms + 100
+                        holder, forget_ms = attempt, now_ms + 100
                 case "done" | "unknown":
                     _apply(state, EndClaim("caller", "key", attempt, ClaimStatus(kind)))
                 case "release":
@@ -203,7 +203,7 @@
                 case "time":
                     now_ms += ms
                     _apply(state, AdvanceTime(ms))
-                    holder = None if now_ms >= expires_ms else holder
+                    holder = None if now_ms >= forget_ms else holder
                 case "snapshot":
                     state = _restored(state)
 
